--- a/passpier/core/choice.py
+++ b/passpier/core/choice.py
@@ -1,4 +1,4 @@
-"""Chooses the replica of a request; each policy is a `Policy`, all share the rest."""
+"""Chooses the replica for a request: cost estimates and the policies that rank candidates."""
 
 from __future__ import annotations
 
@@ -12,45 +12,48 @@
 from passpier.core import rendezvous, replicas, view
 
 TIE_SECONDS = 0.002
-"""Costs that differ by less count as equal."""
+"""Cost differences below this count as a tie."""
 
 RATE_TOLERANCE = 2.0
-"""Factor within which a replica's learnt prefill rate counts as the pool's."""
+"""Factor within which a replica's learnt prefill rate is replaced by the pool's median."""
 
 FAMILY_BLOCKS = 2
-"""Blocks behind the service's preamble that name a prompt's family."""
+"""Blocks after the service's preamble that identify a prompt's family."""
 
 REUSE_WEIGHT = {'first_token': 3.0, 'reuse': 4.0}
-"""What a second of computing what another replica holds costs against a second of waiting."""
+"""Cost of one second spent computing blocks that another replica has cached, relative to one second
+of waiting."""
 
 HOME_WEIGHT = {'first_token': 2.5, 'reuse': 4.0}
-"""What a second of computing costs extra away from the family's home; see `HOME_PLACES`."""
+"""Additional cost of one second of computing away from the family's home replica; see
+`HOME_PLACES`."""
 
 HOME_PLACES = 8
-"""Places behind a family's home over which that cost rises, however large the pool is. Were it to
-rise over a whole large pool, its next ten places would cost next to nothing, and families would
-drift apart."""
+"""Rendezvous ranks after a family's home over which that cost rises to its maximum, independent of
+the pool size. Spread over a whole large pool, the cost of the next ten ranks would be close to zero
+and the prompts of a family would scatter."""
 
 CROWDING_WEIGHT = {'first_token': 0.2, 'reuse': 0.0}
-"""What a second for which one running stream pauses costs against a second of waiting.
+"""Cost of pausing one running stream for a second, relative to one second of waiting.
 
-Engines read prompts between the tokens of their streams, all of which pause meanwhile: where one
-reads without a break for half a second, all its streams are late. With this cost long prompts keep
-away from replicas with many streams, and the reading spreads. Where reuse is what counts, a prompt
-belongs where its prefix is.
+Engines run prefill between the tokens of their streams, and all of these pause meanwhile: a prefill
+of half a second delays every stream of the replica. This cost steers long prompts away from
+replicas with many streams and spreads prefill work. For the objective `reuse`, a prompt belongs
+where its prefix is cached, so the cost is zero.
 """
 
-FEW_STREAMS = 8
-"""Requests running at a replica up to which that cost is none: so few are there where streams are
-short, and prompts would leave their homes for nothing."""
+CROWDING_MIN_REQUESTS = 8
+"""Running requests up to which the crowding cost is zero. Replicas with short streams have about as
+many; charging for them would move prompts away from their homes without any benefit."""
 
-MANY_STREAMS = 20
-"""Requests running there from which on it rises no more. Where all replicas are crowded, it has
-prompts go where least is to be read of them, and waits must still count."""
+CROWDING_MAX_REQUESTS = 20
+"""Running requests above which the crowding cost stops rising. When all replicas are crowded, this
+cost sends prompts to the replica with the fewest tokens to compute, and waiting times must still
+have an influence."""
 
 
 class Job(msgspec.Struct, frozen=True):
-    """What a policy needs to know of a request."""
+    """The properties of a request that policies use."""
 
     chain: list[int]
     block_tokens: int
@@ -59,23 +62,23 @@
     objective: str = 'first_token'
     priority: int = 1
     ends: tuple[int, ...] = ()
-    """Tokens up to the end of each block, where blocks differ in size."""
+    """Cumulative tokens at the end of each block, if blocks differ in size."""
 
     apart: str = ''
-    """What names a request that is to run apart from others that are as suspect."""
+    """Key by which `SpreadPolicy` places a crash suspect, so that suspects don't share a replica."""
 
     family: str = ''
-    """What prompts that share a prefix have in common, if the request says so itself."""
+    """Key that prompts with a common prefix share, if the request provides one."""
 
     def count_tokens(self, blocks: int) -> int:
-        """Return the tokens of the first `blocks` blocks."""
+        """Return the number of tokens in the first `blocks` blocks."""
         if not self.ends:
             return blocks * self.block_tokens
         return self.ends[blocks - 1] if blocks else 0
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A replica with its cost terms, in seconds but for the tokens."""
+    """A replica with its cost terms, in seconds except `matched_tokens`."""
 
     name: str
     matched_tokens: int
@@ -84,16 +87,16 @@
     prefill: float
     recompute: float
     crowding: float
-    """What the prompt's reading costs the streams that run there."""
+    """Cost of the pauses that the prefill causes in the streams running there."""
 
     @property
     def total(self) -> float:
-        """The estimated cost."""
+        """The total estimated cost."""
         return self.wait + self.prefill + self.recompute + self.crowding
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """A chosen replica, why, and what it was compared to."""
+    """The chosen replica, the reason, and all candidates."""
 
     name: str
     reason: str
@@ -107,14 +110,14 @@
 
 
 class Policy(Protocol):
-    """A way of choosing among candidates."""
+    """A strategy for choosing among candidates."""
 
     def pick(self, job: Job, candidates: Sequence[Candidate]) -> tuple[Candidate, str]:
         """Return the winner and the reason."""
 
 
 class CostPolicy:
-    """The least estimated cost; near-ties go to the rendezvous winner of the prompt's family."""
+    """Chooses the lowest estimated cost; ties go to the rendezvous winner of the prompt's family."""
 
     def pick(self, job: Job, candidates: Sequence[Candidate]) -> tuple[Candidate, str]:
         """Return the cheapest candidate."""
@@ -128,7 +131,7 @@
 
 
 class RoundRobinPolicy:
-    """Each candidate in turn."""
+    """Chooses the candidates in rotation."""
 
     def __init__(self) -> None:
         self._turn = 0
@@ -141,7 +144,7 @@
 
 
 class LeastLoadPolicy:
-    """The shortest wait, at random among equals."""
+    """Chooses the shortest wait, at random among equals."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -153,37 +156,37 @@
 
 
 class PrefixHashPolicy:
-    """The rendezvous winner of the prompt's family, whatever its load."""
+    """Chooses the rendezvous winner of the prompt's family, regardless of load."""
 
     def pick(self, job: Job, candidates: Sequence[Candidate]) -> tuple[Candidate, str]:
-        """Return the family's candidate."""
+        """Return the home replica of the family."""
         family = get_family(job)
         winner = max(candidates, key=lambda c: rendezvous.compute_weight(family, c.name))
         return winner, 'family'
 
 
-class ApartPolicy:
-    """The request's own rendezvous winner, so that suspects of one crash spread over the pool."""
+class SpreadPolicy:
+    """Chooses the request's own rendezvous winner, so that suspects of a crash spread over the pool."""
 
     def pick(self, job: Job, candidates: Sequence[Candidate]) -> tuple[Candidate, str]:
-        """Return the request's candidate."""
+        """Return the candidate with the highest weight for the request."""
         winner = max(candidates, key=lambda c: rendezvous.compute_weight(job.apart, c.name))
         return winner, 'apart'
 
 
 def build_policies(rng: random.Random) -> dict[str, Policy]:
-    """Return the policies by the names that routing rules use."""
+    """Return the policies by the names used in routing rules."""
     return {
         'cost': CostPolicy(),
         'round_robin': RoundRobinPolicy(),
         'least_load': LeastLoadPolicy(rng),
         'prefix_hash': PrefixHashPolicy(),
-        'apart': ApartPolicy(),
+        'apart': SpreadPolicy(),
     }
 
 
 def get_family(job: Job) -> str:
-    """Return the key under which prompts that share a prefix are kept together."""
+    """Return the key by which prompts with a common prefix are placed together."""
     if job.family or not job.chain:
         return job.family
     return str(job.chain[min(job.preamble_blocks + FAMILY_BLOCKS, len(job.chain) - 1)])
@@ -200,15 +203,15 @@
 ) -> Candidate:
     """Return a replica's cost terms for a job.
 
-    `rate` is in seconds a token; `duplicated` are the tokens to compute here that another replica
-    holds; `rank` tells how far the replica is from the family's home, from 0 (home) to 1.
+    `rate` is in seconds per token; `duplicated` is the number of tokens to compute here that
+    another replica has cached; `rank` is the distance from the family's home, from 0 (home) to 1.
     """
     matched = job.count_tokens(match.blocks)
     miss = max(0.0, job.prompt_tokens - matched * match.confidence)
     running = replicas.estimate_running(replica, now)
-    # Without a prompt, how busy a replica is tells all that can be told of its speed.
-    over = max(0, running + 1 - replica.slots) if job.prompt_tokens else running
-    slot_wait = over * replica.service_seconds / max(1, replica.slots)
+    # Without a prompt, the number of running requests is the only indicator of the wait.
+    excess = max(0, running + 1 - replica.slots) if job.prompt_tokens else running
+    slot_wait = excess * replica.service_seconds / max(1, replica.slots)
     wait = replicas.estimate_backlog(replica, now, job.priority) * rate + slot_wait
     duplication = duplicated * rate * REUSE_WEIGHT[job.objective]
     away = miss * rate * HOME_WEIGHT[job.objective] * rank
@@ -219,13 +222,13 @@
         wait,
         miss * rate,
         duplication + away,
-        _count_crowd(running) * miss * rate * CROWDING_WEIGHT[job.objective],
+        _count_crowding_requests(running) * miss * rate * CROWDING_WEIGHT[job.objective],
     )
 
 
-def _count_crowd(running: int) -> int:
-    """Return how many of the requests running at a replica make it crowded."""
-    return min(max(0, running - FEW_STREAMS), MANY_STREAMS - FEW_STREAMS)
+def _count_crowding_requests(running: int) -> int:
+    """Return the number of running requests that count for the crowding cost."""
+    return min(max(0, running - CROWDING_MIN_REQUESTS), CROWDING_MAX_REQUESTS - CROWDING_MIN_REQUESTS)
 
 
 def estimate_all(
@@ -233,18 +236,18 @@
 ) -> list[Candidate]:
     """Return the cost terms of all replicas of a pool."""
     matches = [cache.match(replica.name, job.chain, now) for replica in pool]
-    # Every replica soon holds the preamble, so that its copies are no duplication.
-    shared = job.preamble_blocks
+    # Every replica soon caches the preamble, so copies of it are not counted as duplicates.
+    preamble = job.preamble_blocks
     most = max((m.blocks for m in matches), default=0)
     ranks = rank_homes(get_family(job), pool)
-    usual = statistics.median(r.seconds_per_token for r in pool) if pool else 0.0
+    median = statistics.median(r.seconds_per_token for r in pool) if pool else 0.0
     return [
         estimate(
             job,
             r,
             m,
-            get_rate(r, usual),
-            job.count_tokens(max(most, shared)) - job.count_tokens(max(m.blocks, shared)),
+            get_rate(r, median),
+            job.count_tokens(max(most, preamble)) - job.count_tokens(max(m.blocks, preamble)),
             ranks.get(r.name, 1.0),
             now,
         )
@@ -253,19 +256,19 @@
 
 
 def rank_homes(family: str, pool: Sequence[replicas.Replica]) -> dict[str, float]:
-    """Return how far the replicas near a family's home are from it; all others count as 1."""
+    """Return the distance of the nearest replicas from a family's home; all others count as 1."""
     places = min(HOME_PLACES, len(pool) - 1)
     first = rendezvous.find_first(family, tuple(r.name for r in pool), HOME_PLACES)
     return {name: place / max(1, places) for place, name in enumerate(first)}
 
 
-def get_rate(replica: replicas.Replica, usual: float) -> float:
-    """Return a replica's prefill time a token: the pool's usual one unless it is far from it.
+def get_rate(replica: replicas.Replica, median: float) -> float:
+    """Return a replica's prefill time per token: the pool's median unless it differs widely.
 
-    Small differences are noise of the learning, and would draw prompts away from their homes.
+    Small differences are measurement noise and would move prompts away from their homes.
     """
     own = replica.seconds_per_token
-    return usual if usual / RATE_TOLERANCE < own < usual * RATE_TOLERANCE else own
+    return median if median / RATE_TOLERANCE < own < median * RATE_TOLERANCE else own
 
 
 def choose(
@@ -275,7 +278,7 @@
     policy: Policy,
     now: float,
 ) -> Choice | None:
-    """Return the choice among `pool`, or none if it is empty."""
+    """Return the choice among `pool`, or `None` if it is empty."""
     candidates = estimate_all(job, pool, cache, now)
     if not candidates:
         return None
--- a/passpier/core/replicas.py
+++ b/passpier/core/replicas.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of each upstream: identity, load and state."""
+"""The state that a daemon tracks per upstream: identity, load and availability."""
 
 from __future__ import annotations
 
@@ -7,36 +7,38 @@
 from passpier.core import backpressure, lives, throttles
 
 DEFAULT_SECONDS_PER_TOKEN = 1 / 20_000
-"""Assumed prefill time before anything was learnt."""
+"""Prefill time per token that is assumed before any measurement."""
 
 LEARNING_RATE = 0.1
 """Weight of a new sample in the moving averages."""
 
-SMALL_WORK = 512
-"""Tokens below which the time to the first token says little of the prefill rate."""
+MIN_RATE_SAMPLE_TOKENS = 512
+"""Prefill tokens below which the time to the first token is mostly overhead, so that it is not used
+to learn the prefill rate."""
 
 ROOM_SECONDS = 0.1
-"""Seconds of prefill that may wait at a replica; what is behind it stays in our fair queue."""
+"""Seconds of prefill that may be queued at a replica; further requests stay in the daemon's fair
+queue."""
 
 QUEUE_PER_SLOT = 0.5
-"""Requests that may wait at a replica for each of its slots."""
+"""Requests that may be queued at a replica per slot."""
 
 LEAST_URGENT = 3
-"""The highest priority number."""
+"""The highest priority number, which is the least urgent."""
 
-UNANSWERED_SHARE = 0.85
-"""Part of its tokens that a request counts for at the least until its first token is there.
+MIN_PENDING_SHARE = 0.85
+"""Minimum share of its prefill tokens that a request counts for until its first token arrives.
 
-Whatever keeps it longer than expected (work that others sent, memory, slots) keeps the next one,
-too.
+Whatever delays it beyond the estimate (work sent by others, memory, slots) delays the next request
+as well.
 """
 
 PEER_LOAD_SECONDS = 2.0
-"""Seconds for which another daemon's word on its dispatches counts."""
+"""Seconds after which another daemon's load message is ignored."""
 
 
 class Report(msgspec.Struct, frozen=True):
-    """A replica's own account of its load, which may be late."""
+    """A load report sent by the replica itself; it may be out of date."""
 
     running: int
     waiting: int
@@ -45,21 +47,21 @@
 
 
 class Dispatch(msgspec.Struct):
-    """One of our own attempts at a replica; tokens are those to be computed."""
+    """An attempt that this daemon sent to a replica; `tokens` is its estimated prefill."""
 
     tokens: int
     started_at: float
     work_ahead: int
     priority: int = 1
     first_token: bool = False
-    paid: bool = False
-    """Whether it has been counted against the replica's limit."""
+    charged: bool = False
+    """Whether it has taken a token from the replica's throttle."""
 
 
 class PeerLoad(msgspec.Struct, frozen=True):
-    """What another daemon has sent to a replica: requests running, tokens to be computed.
+    """The load that another daemon has on a replica: running requests and pending prefill tokens.
 
-    `tokens` has one number for each priority, the most urgent first.
+    `tokens` has one number per priority, the most urgent first.
     """
 
     tokens: tuple[int, ...]
@@ -68,7 +70,7 @@
 
 
 class Replica(msgspec.Struct):
-    """One upstream with its reported and our own load."""
+    """An upstream with its reported load and the load from known dispatches."""
 
     name: str
     address: str
@@ -81,7 +83,7 @@
     dispatches: dict[str, Dispatch] = msgspec.field(default_factory=dict)
     peers: dict[str, PeerLoad] = msgspec.field(default_factory=dict)
     peers_complete: bool = False
-    """Whether every daemon tells of its load here, so that late reports add nothing."""
+    """Whether all daemons announce their load here, so that the replica's reports aren't needed."""
 
     miss_share: float = 1.0
     overhead: float = 0.0
@@ -89,46 +91,46 @@
     service_seconds: float = 0.2
     leaving_reasons: frozenset[str] = frozenset()
     paused_until: float = float('-inf')
-    """Until when it takes no new requests, as while it loads weights."""
+    """End of the current pause for new requests, such as during a load of weights."""
 
     backoff_until: float = float('-inf')
-    """Until when it wants none, as it has said itself."""
+    """End of the backoff that the replica has asked for."""
 
     room_seconds: float = ROOM_SECONDS
-    """Seconds of prefill that may wait at this replica."""
+    """Seconds of prefill that may be queued at this replica."""
 
     weights_learnt_at: float = float('-inf')
-    """When its weight version was learnt, in seconds of the monotonic clock."""
+    """Monotonic time at which its weight version was last reported."""
 
     signal: backpressure.Signal = backpressure.NO_SIGNAL
-    """What its last answer asked for."""
+    """The backpressure signal of its last response."""
 
     throttle: throttles.Throttle | None = None
-    """Paces what this daemon sends while the replica names a limit."""
+    """Limits the rate of this daemon's requests while the replica announces a limit."""
 
     born: int = 0
-    """When its process started, in Unix milliseconds; 0 if it does not tell."""
+    """Start time of its process in Unix milliseconds; 0 if it isn't reported."""
 
     @property
     def life(self) -> lives.Life:
-        """The process that all this is known of."""
+        """The process that this state belongs to."""
         return lives.Life(self.name, self.born)
 
     @property
     def leaving(self) -> bool:
-        """Whether any signal says that this upstream leaves."""
+        """Whether any source reports that this upstream is shutting down."""
         return bool(self.leaving_reasons)
 
 
 def set_leaving(replica: Replica, reason: str, leaving: bool) -> bool:
-    """Set or clear one signal of leaving; return whether it changed."""
+    """Set or clear one reason for leaving; return whether it changed."""
     before = replica.leaving_reasons
     replica.leaving_reasons = before | {reason} if leaving else before - {reason}
     return before != replica.leaving_reasons
 
 
 def estimate_running(replica: Replica, now: float) -> int:
-    """Return how many requests are running or waiting, by reports and by all known dispatches."""
+    """Return the estimated number of running or queued requests, from reports and dispatches."""
     known = len(replica.dispatches)
     if replica.peers:
         known += sum(p.running for p in _list_peers(replica, now))
@@ -137,12 +139,12 @@
         return known
     since = sum(d.started_at > report.received_at for d in replica.dispatches.values())
     age = max(0.0, now - report.received_at)
-    drained = int(age * replica.slots / max(replica.service_seconds, 1e-3))
-    return max(known, max(0, report.running + report.waiting - drained) + since)
+    completed = int(age * replica.slots / max(replica.service_seconds, 1e-3))
+    return max(known, max(0, report.running + report.waiting - completed) + since)
 
 
 def estimate_backlog(replica: Replica, now: float, priority: int = LEAST_URGENT) -> float:
-    """Return the tokens still to be computed before those of a new request of that priority."""
+    """Return the prefill tokens ahead of a new request of that priority."""
     known = 0.0
     if replica.dispatches:
         known = float(sum(count_pending(replica, now)[: priority + 1]))
@@ -152,22 +154,22 @@
     if report is None or replica.peers_complete:
         return known
     since = sum(count_pending(replica, now, report.received_at)[: priority + 1])
-    drained = (now - report.received_at) / replica.seconds_per_token
-    return max(known, max(0.0, report.backlog * replica.miss_share - drained) + since)
+    computed = (now - report.received_at) / replica.seconds_per_token
+    return max(known, max(0.0, report.backlog * replica.miss_share - computed) + since)
 
 
 def count_pending(replica: Replica, now: float, after: float = float('-inf')) -> tuple[int, ...]:
-    """Return the tokens of our own dispatches since `after` still to be computed, by priority."""
+    """Return the pending prefill tokens of own dispatches since `after`, by priority."""
     pending = [0] * (LEAST_URGENT + 1)
     for dispatch in replica.dispatches.values():
         if not dispatch.first_token and dispatch.started_at > after:
             left = dispatch.tokens - _count_computed(replica, dispatch, now)
-            pending[dispatch.priority] += int(max(left, dispatch.tokens * UNANSWERED_SHARE))
+            pending[dispatch.priority] += int(max(left, dispatch.tokens * MIN_PENDING_SHARE))
     return tuple(pending)
 
 
 def is_open(replica: Replica, now: float) -> bool:
-    """Return whether a replica takes another request at all."""
+    """Return whether a replica accepts another request, even if it has to queue there."""
     if now < replica.paused_until:
         return False
     if replica.throttle is not None and not replica.throttle.has_token(now):
@@ -177,41 +179,42 @@
 
 
 def has_room(replica: Replica, now: float) -> bool:
-    """Return whether another request would start soon enough to be sent now."""
+    """Return whether the queue at a replica is short enough to send another request now."""
     if not is_open(replica, now):
         return False
-    # Every daemon has a part of the room to itself: whoever has a request there hears first when
-    # one ends, and would take all the room as long as its queue lasts.
+    # The allowed queue is divided among the daemons that use the replica: a daemon with running
+    # requests is the first to learn that one has ended, and would otherwise keep the whole queue
+    # for as long as it has requests waiting.
     sharers = 1 + sum(p.running > 0 for p in _list_peers(replica, now))
     own = sum(count_pending(replica, now)) * replica.seconds_per_token
     if own >= replica.room_seconds / sharers:
         return False
-    # One request of each daemon would still be a queue of as many.
+    # The total is checked as well, as one request per daemon may already exceed it.
     return estimate_backlog(replica, now) * replica.seconds_per_token < replica.room_seconds
 
 
 def begin_dispatch(
     replica: Replica, attempt: str, tokens: int, now: float, priority: int = 1
 ) -> None:
-    """Note an attempt that is about to be sent."""
+    """Record an attempt that is about to be sent."""
     ahead = int(estimate_backlog(replica, now, priority))
-    paid = replica.throttle is not None and replica.throttle.take(now)
-    replica.dispatches[attempt] = Dispatch(tokens, now, ahead, priority, paid=paid)
+    charged = replica.throttle is not None and replica.throttle.take(now)
+    replica.dispatches[attempt] = Dispatch(tokens, now, ahead, priority, charged=charged)
 
 
 def may_send(replica: Replica, attempt: str, now: float) -> bool:
-    """Return whether an attempt that was placed may still be sent, by what is known now."""
+    """Return whether an attempt that was placed may still be sent under the current limits."""
     if now < replica.backoff_until:
         return False
     dispatch = replica.dispatches.get(attempt)
-    if dispatch is None or replica.throttle is None or dispatch.paid:
+    if dispatch is None or replica.throttle is None or dispatch.charged:
         return True
-    dispatch.paid = replica.throttle.take(now)
-    return dispatch.paid
+    dispatch.charged = replica.throttle.take(now)
+    return dispatch.charged
 
 
 def compute_ready_at(replica: Replica, now: float) -> float:
-    """Return when the replica allows another request; infinity if that is not known."""
+    """Return when the replica allows another request, or infinity if that is unknown."""
     ready_at = max(now, replica.backoff_until)
     if replica.throttle is None:
         return ready_at
@@ -219,26 +222,26 @@
 
 
 def note_first_token(replica: Replica, attempt: str, now: float) -> None:
-    """Learn the prefill rate from the time to an attempt's first token."""
+    """Update the prefill rate from the time to an attempt's first token."""
     dispatch = replica.dispatches.get(attempt)
     if dispatch is None or dispatch.first_token:
         return
     dispatch.first_token = True
     work = dispatch.tokens + dispatch.work_ahead
     elapsed = now - dispatch.started_at
-    if work < SMALL_WORK:
-        # What a short prefill takes is mostly the way there and back.
+    if work < MIN_RATE_SAMPLE_TOKENS:
+        # The duration of a short prefill is mostly network latency.
         sample = elapsed - work * replica.seconds_per_token
         replica.overhead += LEARNING_RATE * (max(0.0, sample) - replica.overhead)
         return
     sample = max(0.0, elapsed - replica.overhead) / work
-    # A slot that was waited for must not be learnt as slow prefill.
+    # Bounded, as waiting for a slot must not be learnt as slow prefill.
     sample = min(sample, replica.seconds_per_token * 2)
     replica.seconds_per_token += LEARNING_RATE * (sample - replica.seconds_per_token)
 
 
 def end_dispatch(replica: Replica, attempt: str, now: float) -> None:
-    """Note that an attempt is over."""
+    """Remove a finished attempt and update the service time."""
     dispatch = replica.dispatches.pop(attempt, None)
     if dispatch is not None and dispatch.first_token:
         sample = now - dispatch.started_at
@@ -246,29 +249,29 @@
 
 
 def note_usage(replica: Replica, prompt_tokens: int, cached_tokens: int) -> None:
-    """Learn which share of its prompts a replica computes."""
+    """Update the share of prompt tokens that the replica had to compute."""
     if prompt_tokens:
         sample = 1 - cached_tokens / prompt_tokens
         replica.miss_share += LEARNING_RATE * (sample - replica.miss_share)
 
 
 def _estimate_peers(replica: Replica, now: float, priority: int, own: float) -> float:
-    """Return the tokens of other daemons' requests still to be computed.
+    """Return the pending prefill tokens of other daemons' requests.
 
-    All requests of a replica are one queue: what it has computed since the others told of theirs
-    was a part of theirs only, and is not taken off each daemon's in full. Who is not told of an
-    answer goes on counting what waits for it.
+    A replica processes all requests from one queue, so the tokens it has computed since the load
+    messages came are subtracted once from the total and not from each daemon's load in full. A
+    minimum share stays counted, because other daemons' first tokens are not reported here.
     """
-    told = 0.0
-    aged = 0.0
+    total = 0.0
+    weighted_age = 0.0
     for peer in _list_peers(replica, now):
         tokens = sum(peer.tokens[: priority + 1])
-        told += tokens
-        aged += tokens * (now - peer.received_at)
-    if not told:
+        total += tokens
+        weighted_age += tokens * (now - peer.received_at)
+    if not total:
         return 0.0
-    computed = aged / told / replica.seconds_per_token
-    return max(told * UNANSWERED_SHARE, told - computed * told / (told + own))
+    computed = weighted_age / total / replica.seconds_per_token
+    return max(total * MIN_PENDING_SHARE, total - computed * total / (total + own))
 
 
 def _list_peers(replica: Replica, now: float) -> list[PeerLoad]:
--- a/passpier/tests/core/admission_tests.py
+++ b/passpier/tests/core/admission_tests.py
@@ -1,4 +1,4 @@
-"""Queues lose nothing, keep priorities, and share fairly."""
+"""Fair queues lose no ticket, respect priorities and share fairly."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @hypothesis.given(TICKETS)
-def test_every_ticket_comes_out_once_and_in_its_accounts_order(
+def test_every_ticket_is_taken_once_and_in_order_per_account(
     tickets: list[tuple[str, int, int]],
 ) -> None:
     queue = fill(tickets)
@@ -38,7 +38,7 @@
 
 
 @hypothesis.given(TICKETS, st.sampled_from('abc'))
-def test_removed_tickets_are_gone(tickets: list[tuple[str, int, int]], account: str) -> None:
+def test_removed_tickets_are_not_taken(tickets: list[tuple[str, int, int]], account: str) -> None:
     queue = fill(tickets)
     removed = queue.remove(lambda t: t.account == account)
     rest = [queue.take() for _ in range(len(queue))]
@@ -46,14 +46,14 @@
     assert all(t is not None and t.account != account for t in rest)
 
 
-def test_urgent_first_with_a_share_for_the_rest() -> None:
+def test_urgent_tickets_go_first_with_a_share_for_the_rest() -> None:
     queue: admission.FairQueue[int] = admission.FairQueue()
     for number in range(100):
         queue.put(make_ticket(number, 'a', 0, 100))
         queue.put(make_ticket(1000 + number, 'a', 3, 100))
     first = [queue.take() for _ in range(50)]
     late = sum(t is not None and t.priority == 3 for t in first)
-    assert late == 50 // admission.STARVATION_TURNS
+    assert late == 50 // admission.STARVATION_INTERVAL
 
 
 def test_a_greedy_account_does_not_delay_another() -> None:
@@ -67,7 +67,7 @@
 
 
 def test_urgent_floods_do_not_starve_other_accounts() -> None:
-    """First version: priorities came before accounts, so a flood of urgent work stopped others."""
+    """Guards against ranking priorities before accounts, where urgent floods block all others."""
     queue: admission.FairQueue[int] = admission.FairQueue()
     for number in range(500):
         queue.put(make_ticket(number, 'greedy', 0, 1000))
@@ -86,7 +86,7 @@
     assert first.item == 2
 
 
-def test_weights_divide_the_work() -> None:
+def test_work_is_divided_by_weight() -> None:
     queue: admission.FairQueue[int] = admission.FairQueue()
     for number in range(300):
         queue.put(make_ticket(number, 'heavy', 1, 1024, weight=3))
--- a/passpier/tests/core/choice_tests.py
+++ b/passpier/tests/core/choice_tests.py
@@ -1,4 +1,4 @@
-"""Choices of replicas, and the load that they rest on."""
+"""The choice of replicas and the load estimates behind it."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     return chosen
 
 
-def test_an_unknown_prompt_goes_to_the_same_replica_from_everywhere() -> None:
+def test_all_daemons_choose_the_same_replica_for_an_unknown_prompt() -> None:
     names = {choose(*make_pool()).name for _ in range(5)}
     assert len(names) == 1
 
 
-def test_a_cached_prefix_wins_until_its_replica_is_busy() -> None:
+def test_a_cached_prefix_is_preferred_until_its_replica_is_busy() -> None:
     pool, cache = make_pool()
     home = choose(pool, cache).name
     other = next(r for r in pool if r.name != home)
@@ -46,46 +46,46 @@
 
 
 def run_streams(replica: replicas.Replica, count: int) -> None:
-    """Have streams run at a replica that have begun to answer."""
+    """Add streams to a replica that are past their first token."""
     replica.slots = 64
     for number in range(count):
         dispatch = replicas.Dispatch(0, 1.0, 0, first_token=True)
         replica.dispatches[str(number)] = dispatch
 
 
-def test_a_long_prompt_keeps_away_from_many_streams() -> None:
+def test_a_long_prompt_avoids_a_replica_with_many_streams() -> None:
     pool, cache = make_pool()
     home = next(r for r in pool if r.name == choose(pool, cache).name)
     run_streams(home, 30)
     assert choose(pool, cache).name != home.name
-    # Reuse is worth more than the pauses of others.
+    # For the objective `reuse`, pauses of running streams have no cost.
     assert choose(pool, cache, objective='reuse').name == home.name
 
 
-def test_few_streams_draw_no_prompt_away_from_its_home() -> None:
+def test_few_streams_do_not_move_a_prompt_from_its_home() -> None:
     pool, cache = make_pool()
     home = next(r for r in pool if r.name == choose(pool, cache).name)
-    run_streams(home, choice.FEW_STREAMS)
+    run_streams(home, choice.CROWDING_MIN_REQUESTS)
     assert choose(pool, cache).name == home.name
 
 
-def find_patience(objective: str) -> int:
-    """Return the tokens ahead up to which a cached prefix is waited for."""
+def find_max_backlog(objective: str) -> int:
+    """Return the backlog in tokens at which a cached prefix is no longer waited for."""
     for tokens in range(1000, 200_000, 1000):
         pool, cache = make_pool()
         cache.add('r1', 'i', CHAIN, view.Evidence.ANSWER, 1.0)
         replicas.begin_dispatch(pool[1], 'a', tokens, 1.0)
         if choose(pool, cache, objective=objective).name != 'r1':
             return tokens
-    raise AssertionError('it is waited for without end')
+    raise AssertionError('the cached prefix is always preferred')
 
 
 def test_reuse_waits_longer_for_a_cached_prefix_than_first_token() -> None:
-    assert 2_000 < find_patience('first_token') < find_patience('reuse')
+    assert 2_000 < find_max_backlog('first_token') < find_max_backlog('reuse')
 
 
-def test_a_hot_prefix_widens_and_narrows_again() -> None:
-    """While its home is loaded others take it; once they hold it they are chosen for a while."""
+def test_a_hot_prefix_spreads_and_returns_to_its_home() -> None:
+    """Other replicas take over while the home is loaded, and keep some requests once they cache it."""
     pool, cache = make_pool()
     home = next(r for r in pool if r.name == choose(pool, cache).name)
     cache.add(home.name, 'i', CHAIN, view.Evidence.ANSWER, 1.0)
@@ -115,7 +115,7 @@
     assert choice.choose(make_job(), [], cache, choice.CostPolicy(), 1.0) is None
 
 
-def test_load_is_the_later_of_report_and_dispatches() -> None:
+def test_load_combines_reports_dispatches_and_peer_loads() -> None:
     replica = replicas.Replica('r', '', '', '')
     replicas.begin_dispatch(replica, 'a', 1000, 1.0)
     assert replicas.estimate_running(replica, 1.0) == 1
@@ -131,7 +131,7 @@
     assert not replica.dispatches
 
 
-def test_prefill_rate_is_learnt() -> None:
+def test_the_prefill_rate_is_learnt() -> None:
     replica = replicas.Replica('r', '', '', '')
     now = 0.0
     for number in range(200):
@@ -143,53 +143,53 @@
 
 
 def make_family_job(family: str) -> choice.Job:
-    """Return a job with a beginning that many share, a family's part and an end of its own."""
+    """Return a job with a common preamble, a family's block and a private last block."""
     chain = [1, hash(family), hash((family, 'own'))]
     ends = (2500, 6300, 9200)
     return choice.Job(chain, 1, 9200, preamble_blocks=1, ends=ends, family=family)
 
 
-def compute_step(size: int) -> float:
-    """Return what the second place of a family costs more than its home, in seconds."""
+def compute_cost_step(size: int) -> float:
+    """Return the additional cost of the second replica in a family's ranking, in seconds."""
     pool, cache = make_pool(size)
     costs = sorted(c.total for c in choice.estimate_all(make_family_job('f'), pool, cache, 1.0))
     return costs[1] - costs[0]
 
 
-def test_the_next_place_costs_as_much_in_a_pool_of_any_size() -> None:
-    assert abs(compute_step(choice.HOME_PLACES + 1) - compute_step(670)) < 1e-9
+def test_the_cost_of_the_second_replica_does_not_depend_on_the_pool_size() -> None:
+    assert abs(compute_cost_step(choice.HOME_PLACES + 1) - compute_cost_step(670)) < 1e-9
 
 
-def test_a_shared_beginning_draws_no_family_away_from_its_home() -> None:
+def test_a_cached_preamble_does_not_move_families_from_their_homes() -> None:
     pool, cache = make_pool(60)
     policy = choice.CostPolicy()
     homes = [choice.choose(make_family_job(f'f{n}'), pool, cache, policy, 1.0) for n in range(50)]
-    # Two replicas were the first to read the beginning on new weights.
+    # Two replicas are the first to cache the preamble under new weights.
     for name in ('r0', 'r1'):
         cache.add(name, 'i', [1], view.Evidence.EVENT, 1.0, [2500])
     again = [choice.choose(make_family_job(f'f{n}'), pool, cache, policy, 1.0) for n in range(50)]
     pairs = zip(homes, again, strict=True)
     moved = [new for old, new in pairs if old and new and old.name != new.name]
-    # Only families for which they stand in the first places anyway.
+    # Only families that rank one of the two among their first replicas may move.
     assert len(moved) <= 3
 
 
-def test_what_a_replica_computes_is_taken_off_all_daemons_requests_together() -> None:
+def test_computed_tokens_are_subtracted_once_from_the_load_of_all_daemons() -> None:
     replica = replicas.Replica('r', '', '', '')
     rate = replica.seconds_per_token
     for sender in ('a', 'b', 'c', 'd'):
         replica.peers[sender] = replicas.PeerLoad((0, 1000, 0, 0), 1, 10.0)
-    # In the time of 200 tokens it has computed 200 of the 4,000 that were told, not of each 1,000.
+    # In the time of 200 tokens it computes 200 of the announced 4,000, not 200 of each 1,000.
     left = replicas.estimate_backlog(replica, 10.0 + 200 * rate)
     assert abs(left - 3800) < 1
 
 
-def test_work_without_an_answer_goes_on_counting() -> None:
+def test_unanswered_requests_keep_counting() -> None:
     replica = replicas.Replica('r', '', '', '')
     rate = replica.seconds_per_token
     replicas.begin_dispatch(replica, 'a', 1000, 10.0)
     replica.peers['b'] = replicas.PeerLoad((0, 1000, 0, 0), 1, 10.0)
-    least = 2000 * replicas.UNANSWERED_SHARE
+    least = 2000 * replicas.MIN_PENDING_SHARE
     assert replicas.estimate_backlog(replica, 10.0 + 9000 * rate) >= least - 1
     replicas.note_first_token(replica, 'a', 10.5)
     assert replicas.estimate_backlog(replica, 10.5) < least
