--- a/passpier/core/catalogue.py
+++ b/passpier/core/catalogue.py
@@ -1,12 +1,13 @@
-"""The replicas that exist, by their entries in the registry.
+"""The replicas that exist, according to their entries in the registry.
 
-Entries that vanish while the registry is disturbed are kept for a while after its return, since
-their leases may have lapsed while their replicas live. A replica that was seen leaving stays so for
-as long as its process lives.
+Entries that disappear during a registry outage are kept for a grace period after the registry is
+back, because their leases may have expired while the replicas are alive. A replica that was once
+seen draining stays so until its process ends.
 
-A replica may start again under its id. Its newest entry tells which process there is now, also if
-the replica's clock has jumped back; the replica itself may tell earlier, of a later start than is
-known. A process that is known to have ended never counts again, however late word of it comes.
+A replica may restart under the same id. Its newest entry identifies the current process, even if
+the replica's clock was set back; the replica itself may report a later start before its entry does.
+A process that is known to have ended is never taken back, no matter how late messages about it
+arrive.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 from passpier.core import lives
 
 RETURN_GRACE = 2.0
-"""Seconds after the registry's return in which a lapsed entry comes back if its replica lives."""
+"""Seconds after a registry outage within which a live replica writes its expired entry again."""
 
 ENDED_KEPT = 8
-"""Ended processes that are remembered of each replica; late word comes from the last one or two."""
+"""Ended processes that are remembered per replica; late messages concern the last one or two."""
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """What a replica records of itself."""
+    """A replica's registry entry."""
 
     id: str
     service: str
@@ -38,36 +39,36 @@
     """Weight version of each model."""
 
     born: int = 0
-    """When its process started, in Unix milliseconds; 0 if it does not tell."""
+    """Start time of its process in Unix milliseconds; 0 if it isn't reported."""
 
     tells_weights: bool = False
-    """Whether it says which models there are, be it none."""
+    """Whether the entry lists models, even if the list is empty."""
 
     tells_born: bool = False
-    """Whether it says when its process started."""
+    """Whether the entry contains the start time of the process."""
 
     @property
     def life(self) -> lives.Life:
-        """The process that the entry is of."""
+        """The process that wrote the entry."""
         return lives.Life(self.id, self.born)
 
 
 class _Known(msgspec.Struct):
     entry: Entry
-    missing_until: float | None = None
-    """Until when an entry that vanished may come back."""
+    grace_until: float | None = None
+    """End of the grace period of an entry that disappeared."""
 
-    watched: bool = False
-    """Whether this process saw it vanish itself; then further disturbance prolongs the wait."""
+    seen_here: bool = False
+    """Whether this daemon itself saw it disappear; further outages then extend the grace period."""
 
-    ended: collections.deque[int] = msgspec.field(
+    ended_processes: collections.deque[int] = msgspec.field(
         default_factory=lambda: collections.deque(maxlen=ENDED_KEPT)
     )
-    """When the processes started that have ended since."""
+    """Start times of earlier processes, which have ended."""
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One replica that came, changed or went; `entry` is none when it is gone."""
+    """A replica that was added, changed or removed; `entry` is `None` if it was removed."""
 
     id: str
     entry: Entry | None
@@ -75,36 +76,36 @@
 
 
 class Catalogue:
-    """All replicas that are not certainly gone."""
+    """All replicas that may be alive."""
 
     def __init__(self) -> None:
         self._known: dict[str, _Known] = {}
-        self._disturbed_until = float('-inf')
+        self._outage_until = float('-inf')
 
     def list_entries(self) -> list[Entry]:
         """Return the entries of all replicas that may be alive."""
         return [k.entry for k in self._known.values()]
 
     def note_disturbance(self, now: float) -> None:
-        """Note that the registry is not answering, or has only just answered again."""
-        self._disturbed_until = max(self._disturbed_until, now + RETURN_GRACE)
+        """Record that the registry isn't available or has only just become available again."""
+        self._outage_until = max(self._outage_until, now + RETURN_GRACE)
 
     def list_awaited(self, now: float) -> dict[str, float]:
-        """Return the replicas whose vanished entries may come back, and for how many seconds."""
+        """Return the replicas in their grace period and the seconds that are left of it."""
         awaited = {}
         for id, known in self._known.items():
-            if known.missing_until is None:
+            if known.grace_until is None:
                 continue
-            ends_at = known.missing_until
-            if known.watched:
-                ends_at = max(ends_at, self._disturbed_until)
+            ends_at = known.grace_until
+            if known.seen_here:
+                ends_at = max(ends_at, self._outage_until)
             awaited[id] = max(0.0, ends_at - now)
         return awaited
 
     def put(self, entry: Entry) -> Change | None:
-        """Take over an entry that is newer than the known one; return the change, if it is one.
+        """Apply an entry unless it is outdated; return the change, if any.
 
-        An entry that does not tell its process's start is one of the process that is known.
+        An entry without a start time is attributed to the known process.
         """
         known = self._known.get(entry.id)
         if known is None:
@@ -112,11 +113,11 @@
             return _describe(entry)
         if not entry.born:
             entry = msgspec.structs.replace(entry, born=known.entry.born)
-        if entry.born in known.ended:
+        if entry.born in known.ended_processes:
             return None
-        known.missing_until = None
+        known.grace_until = None
         if entry.born != known.entry.born:
-            return self._begin_life(known, entry)
+            return self._replace_process(known, entry)
         if known.entry.draining and not entry.draining:
             entry = msgspec.structs.replace(entry, draining=True)
         if known.entry == entry:
@@ -124,72 +125,75 @@
         known.entry = entry
         return _describe(entry)
 
-    def note_born(self, life: lives.Life, versions: Mapping[str, int]) -> Change | None:
-        """Take over that a replica says to have started later than is known.
+    def note_born(self, process: lives.Life, versions: Mapping[str, int]) -> Change | None:
+        """Apply a replica's own report of a later start than its entry has.
 
-        What the process before said of leaving does not bind the one that has started since.
+        The new process isn't draining, even if the previous one was.
         """
-        known = self._known.get(life.id)
-        if known is None or life.born <= known.entry.born or life.born in known.ended:
+        known = self._known.get(process.id)
+        if known is None or process.born <= known.entry.born or process.born in known.ended_processes:
             return None
         entry = msgspec.structs.replace(
-            known.entry, born=life.born, draining=False, versions=dict(versions)
+            known.entry, born=process.born, draining=False, versions=dict(versions)
         )
-        return self._begin_life(known, entry)
+        return self._replace_process(known, entry)
 
     def refuse(self, id: str) -> Change | None:
-        """Note that a replica's entry was written over with one that names no replica.
+        """Remove a replica whose entry was overwritten with an invalid one.
 
-        Nothing is awaited as when an entry has vanished: somebody wrote this, and a replica that
-        lives records itself again.
+        There is no grace period as for an entry that disappeared, because this one was written
+        deliberately, and a live replica writes its entry again.
         """
         if self._known.pop(id, None) is None:
             return None
         return Change(id, None, 'entry unusable')
 
     def remove(self, id: str, now: float, awaited: float | None = None) -> Change | None:
-        """Note that an entry vanished; the replica is gone unless the entry may come back.
+        """Remove a replica whose entry disappeared, unless a grace period applies.
 
-        It may while the registry is disturbed, or, told by a peer, for the `awaited` seconds that
-        the peer waits for it: whether the registry answers this process says nothing then.
+        That is the case after an outage of the registry. If the removal was reported by a peer, the
+        grace period is the `awaited` seconds that the peer has left, as the peer's view of the
+        registry counts then and not that of this daemon.
         """
         known = self._known.get(id)
         if known is None:
             return None
-        until = self._disturbed_until if awaited is None else now + awaited
+        until = self._outage_until if awaited is None else now + awaited
         if now < until and not known.entry.draining:
-            if known.missing_until is None:
-                known.missing_until = until
-                known.watched = awaited is None
+            if known.grace_until is None:
+                known.grace_until = until
+                known.seen_here = awaited is None
             return None
         del self._known[id]
         return Change(id, None, 'entry removed')
 
     def expire(self, now: float) -> list[Change]:
-        """Drop replicas whose entries did not come back in time."""
+        """Remove replicas whose grace period has ended."""
         awaited = self.list_awaited(now)
-        late = [id for id, seconds in awaited.items() if seconds <= 0]
-        for id in late:
+        expired = [id for id, seconds in awaited.items() if seconds <= 0]
+        for id in expired:
             del self._known[id]
-        return [Change(i, None, 'entry did not come back') for i in late]
+        return [Change(i, None, 'entry did not come back') for i in expired]
 
-    def _begin_life(self, known: _Known, entry: Entry) -> Change:
-        known.ended.append(known.entry.born)
+    def _replace_process(self, known: _Known, entry: Entry) -> Change:
+        known.ended_processes.append(known.entry.born)
         known.entry = entry
         return Change(entry.id, entry, 'started again')
 
 
 def find_incomplete(entries: Sequence[Entry]) -> set[str]:
-    """Return the ids whose entries lack what others of their service tell.
+    """Return the ids whose entries lack fields that other entries of the service have.
 
-    Replicas of one service run the same software: where one tells when it started, or which models
-    it has, all do, and who leaves it out has not written the entry of a replica. Where none tells,
-    as with older software, nothing can be said.
+    All replicas of a service run the same software: if one reports its start time or its models,
+    all do, so an entry without them was not written by a replica. If no entry has these fields, as
+    with older software, none counts as incomplete.
     """
-    weights = any(e.tells_weights for e in entries)
-    born = any(e.tells_born for e in entries)
+    any_weights = any(e.tells_weights for e in entries)
+    any_start = any(e.tells_born for e in entries)
     return {
-        e.id for e in entries if (weights and not e.tells_weights) or (born and not e.tells_born)
+        e.id
+        for e in entries
+        if (any_weights and not e.tells_weights) or (any_start and not e.tells_born)
     }
 
 
--- a/passpier/core/choice.py
+++ b/passpier/core/choice.py
@@ -65,7 +65,7 @@
     """Cumulative tokens at the end of each block, if blocks differ in size."""
 
     apart: str = ''
-    """Key by which `SpreadPolicy` places a crash suspect, so that suspects don't share a replica."""
+    """Key by which `SpreadPolicy` places a crash suspect, to keep it apart from other suspects."""
 
     family: str = ''
     """Key that prompts with a common prefix share, if the request provides one."""
@@ -117,7 +117,7 @@
 
 
 class CostPolicy:
-    """Chooses the lowest estimated cost; ties go to the rendezvous winner of the prompt's family."""
+    """Chooses the lowest cost; ties go to the rendezvous winner of the prompt's family."""
 
     def pick(self, job: Job, candidates: Sequence[Candidate]) -> tuple[Candidate, str]:
         """Return the cheapest candidate."""
@@ -166,7 +166,7 @@
 
 
 class SpreadPolicy:
-    """Chooses the request's own rendezvous winner, so that suspects of a crash spread over the pool."""
+    """Chooses the request's own rendezvous winner, so that crash suspects spread over the pool."""
 
     def pick(self, job: Job, candidates: Sequence[Candidate]) -> tuple[Candidate, str]:
         """Return the candidate with the highest weight for the request."""
@@ -228,7 +228,9 @@
 
 def _count_crowding_requests(running: int) -> int:
     """Return the number of running requests that count for the crowding cost."""
-    return min(max(0, running - CROWDING_MIN_REQUESTS), CROWDING_MAX_REQUESTS - CROWDING_MIN_REQUESTS)
+    return min(
+        max(0, running - CROWDING_MIN_REQUESTS), CROWDING_MAX_REQUESTS - CROWDING_MIN_REQUESTS
+    )
 
 
 def estimate_all(
--- a/passpier/core/crashes.py
+++ b/passpier/core/crashes.py
@@ -1,11 +1,11 @@
-"""Which requests were running when replicas' processes ended, and which of them cause that.
-
-Some requests end each process that begins to run them, and come again. A process that ends takes
-all that runs there with it: all of these are suspects, and one may be the cause. It is under every
-end, the others are under few. So the ends are counted by distinct processes, for each request as
-its fingerprint names it, by all daemons together: each tells the others what it has seen, and the
-union is the same in whatever order and however often it is told. A run that ends well clears its
-request of all ends that were known under it.
+"""Detects requests that crash the replicas running them.
+
+Some requests crash every process that starts to run them, and are sent again by their callers. All
+requests that were running in a crashed process are suspects, and one of them may be the cause: the
+cause is involved in every crash, the others in few. Crashes are therefore counted per request
+(identified by its fingerprint) as the number of distinct processes. All daemons share what they
+have seen; the union doesn't depend on the order or number of messages. A run that completes clears
+its request of all crashes that were known at that time.
 """
 
 from __future__ import annotations
@@ -18,55 +18,56 @@
 from passpier.core import lives
 
 LIVES = 3
-"""Ends from which on a request counts as their cause. Of 20 requests that run beside it, spread
-over four replicas when tried again, 4 or 5 come under a second end and 1 under a third."""
+"""Crashes from which on a request counts as their cause. Of 20 requests that run beside the cause
+and are spread over four replicas when retried, 4 or 5 are involved in a second crash and 1 in a
+third."""
 
 TOLD_LIVES = 2
-"""Ends from which on one run of a request is let through at a time, and told to the other daemons:
-one more end convicts it. Before that, copies run side by side: they go to the same replica, so that
-they are under the same end."""
+"""Crashes from which on only one run of a request is allowed at a time and announced to the other
+daemons, because one more crash makes it count as the cause. Below that, copies may run in parallel:
+they go to the same replica and are involved in the same crash."""
 
 RUN_MAX = 3.0
-"""Seconds for which a run keeps others of the same request waiting: those that end their replica do
-so within a second, and a plain read that many callers share must not wait for a slow one."""
+"""Seconds for which a run blocks other runs of the same request. A request that crashes its replica
+does so within a second, and a plain read that many callers send must not wait for a slow one."""
 
-TRIALS = 2
-"""Runs that a request which counts as the cause still gets, one after the other, in case it is not.
-Three are allowed to it; the third is left for a daemon that has not heard of the last end."""
+MAX_TRIALS = 2
+"""Trial runs that a request counted as the cause still gets, one at a time, in case it isn't. Three
+are tolerated; the third is reserved for a daemon that has not yet heard of the last crash."""
 
 TRIAL_AFTER = 30.0
-"""Seconds after the last end until the first trial: a request that is held back wrongly loses as
-many, one that is not ends a single replica in them instead of one in 0.5 s."""
+"""Seconds from the last crash to the first trial. A request that is blocked by mistake is delayed
+for that long; one that is the cause crashes one replica in it instead of one every 0.5 s."""
 
-COPY_WAIT = 0.5
-"""Seconds after which a copy of a suspect that is being run may come back; a run takes 0.1 to 1."""
+COPY_RETRY_AFTER = 0.5
+"""Seconds after which a copy of a running suspect may be retried; a run takes 0.1 to 1 s."""
 
 RETRY_AFTER_MAX = 60.0
-"""Seconds after which, at the latest, a caller may ask again for what ends replicas: it may have
-changed, or have been under suspicion by mistake."""
+"""Maximum `Retry-After` in seconds for requests that crash replicas: the request may have been
+changed, or suspected by mistake."""
 
-KEPT_SECONDS = 3600.0
-"""Seconds after its last end for which a request is remembered."""
+RETENTION_SECONDS = 3600.0
+"""Seconds for which a request is remembered after its last crash."""
 
-MOST = 2048
-"""Requests that are remembered, 425 bytes each. The least counted go first, the oldest of
-these first: 20 requests come under each end, so that these are the last 100 ends."""
+MAX_REQUESTS = 2048
+"""Maximum number of remembered requests, 425 bytes each. Those with the fewest crashes are evicted
+first, the oldest of them first. At 20 requests per crash this covers the last 100 crashes."""
 
-DROPPED = 64
-"""Requests that are dropped at once when there are too many."""
+EVICTION_BATCH = 64
+"""Requests that are evicted at once when there are too many."""
 
-FRESH_SECONDS = 10.0
-"""Seconds for which all that was seen is repeated to others, in case a message was lost; after that
-only what may be the cause."""
+RECENT_SECONDS = 10.0
+"""Seconds for which every crash is sent repeatedly, in case a message is lost; after that only
+requests that may be the cause."""
 
-MOST_TOLD = 128
-"""Requests that are repeated at a time, the most counted ones."""
+MAX_EXPORTED = 128
+"""Maximum number of requests per message, those with the max_requests crashes first."""
 
 Suspects = Sequence[int]
-"""Requests by their fingerprints."""
+"""Fingerprints of requests."""
 
 
-class _Word(msgspec.Struct, frozen=True, array_like=True):
+class _ProcessReport(msgspec.Struct, frozen=True, array_like=True):
     replica: str
     born: int
 
@@ -76,48 +77,48 @@
         return lives.Life(self.replica, self.born)
 
 
-class End(_Word, frozen=True, array_like=True):
-    """Word that a process ended `age` seconds ago while some requests were running there."""
+class End(_ProcessReport, frozen=True, array_like=True):
+    """Reports that a process ended `age` seconds ago while some requests were running there."""
 
     age: float
     suspects: list[int]
 
 
-class Clearing(_Word, frozen=True, array_like=True):
-    """Word that some requests that were running when a process ended did not cause that."""
+class Clearing(_ProcessReport, frozen=True, array_like=True):
+    """Reports that some requests running in a crashed process did not cause the crash."""
 
     suspects: list[int]
 
 
 class Judgement(msgspec.Struct, frozen=True):
-    """What may be done with a request now."""
+    """Whether a request may be sent now, and under which conditions."""
 
     ends: int = 0
-    """Under how many ends it was running."""
+    """Number of crashes that it was involved in."""
 
     refused_for: float | None = None
-    """Seconds after which it may be asked for again; none: it may be sent now."""
+    """Seconds until it may be retried; `None` if it may be sent now."""
 
     reason: str = ''
 
     @property
     def retry_after(self) -> float | None:
-        """The seconds after which a refused caller is told to ask again."""
+        """The `Retry-After` in seconds for a refused caller."""
         return None if self.refused_for is None else min(self.refused_for, RETRY_AFTER_MAX)
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it is to be kept apart from the other suspects."""
+        """Whether it has to be placed apart from other suspects."""
         return self.ends > 0
 
     @property
     def is_trial(self) -> bool:
-        """Whether it may be sent once more, by one daemon, though it counts as the cause."""
+        """Whether it counts as the cause but may be sent once more, by a single daemon."""
         return self.refused_for is None and self.ends >= LIVES
 
     @property
     def is_told(self) -> bool:
-        """Whether others have to know that it is being run."""
+        """Whether its runs have to be announced to the other daemons."""
         return self.ends >= TOLD_LIVES
 
 
@@ -125,188 +126,192 @@
 
 
 class Crashes:
-    """What one daemon knows of ends and of the requests under them; times are monotonic."""
+    """The crashes known to one daemon, with the requests involved; times are monotonic."""
 
-    def __init__(self, most: int = MOST) -> None:
-        self._most = most
-        self._ends: dict[int, dict[lives.Life, float]] = {}
-        """By request, the processes that ended under it, and when."""
+    def __init__(self, max_requests: int = MAX_REQUESTS) -> None:
+        self._max_requests = max_requests
+        self._crashes: dict[int, dict[lives.Life, float]] = {}
+        """Crashed processes and times by request."""
 
         self._cleared: dict[int, dict[lives.Life, float]] = {}
-        """By request, the ends that it did not cause, and since when that is known."""
+        """By request, the crashes that it did not cause, and when that became known."""
 
-        self._pending: dict[lives.Life, dict[int, float]] = {}
-        """Ends that are not certain yet, with the requests under them, and when they were seen."""
+        self._unconfirmed: dict[lives.Life, dict[int, float]] = {}
+        """Unconfirmed crashes with the requests involved and the time at which each was seen."""
 
         self._running: collections.Counter[int] = collections.Counter()
         self._begun_at: dict[int, float] = {}
-        """When the last run of each request that is running began."""
+        """Start time of the last run of each running request."""
 
-        self._elsewhere: dict[int, float] = {}
-        """Suspects that other daemons run, and until when that holds."""
+        self._remote_runs: dict[int, float] = {}
+        """Suspects that other daemons run, with the time until which that blocks runs here."""
 
     def __len__(self) -> int:
-        return len(self._ends)
+        return len(self._crashes)
 
     def count_ends(self, fingerprint: int) -> int:
-        """Return how many processes ended under a request, for all that is known."""
-        return len(self._list_ends(fingerprint))
+        """Return the number of known crashes that a request was involved in."""
+        return len(self._list_crashes(fingerprint))
 
     def judge(self, fingerprint: int, now: float) -> Judgement:
-        """Return whether a request may be sent now, and how."""
-        ends = self._list_ends(fingerprint)
-        if not ends:
+        """Return whether a request may be sent now, and under which conditions."""
+        crash_times = self._list_crashes(fingerprint)
+        if not crash_times:
             return CLEAN
-        if len(ends) >= TOLD_LIVES and self._is_running(fingerprint, now):
-            return Judgement(len(ends), COPY_WAIT, 'the same request is being run')
-        left = _compute_wait(ends, now)
-        if left > 0:
-            text = f'{len(ends)} replicas have ended while they ran it'
-            return Judgement(len(ends), left, text)
-        return Judgement(len(ends))
+        if len(crash_times) >= TOLD_LIVES and self._is_running(fingerprint, now):
+            return Judgement(len(crash_times), COPY_RETRY_AFTER, 'the same request is being run')
+        wait = _compute_wait(crash_times, now)
+        if wait > 0:
+            text = f'{len(crash_times)} replicas have ended while they ran it'
+            return Judgement(len(crash_times), wait, text)
+        return Judgement(len(crash_times))
 
     def begin(self, fingerprint: int, now: float) -> None:
-        """Note that a run of a request begins here."""
+        """Record the start of a run by this daemon."""
         self._running[fingerprint] += 1
         self._begun_at[fingerprint] = now
 
     def end(self, fingerprint: int) -> None:
-        """Note that a run is over, one way or the other."""
+        """Record the end of a run, whatever its result."""
         self._running[fingerprint] -= 1
         if not self._running[fingerprint]:
             del self._running[fingerprint]
             del self._begun_at[fingerprint]
 
     def note_elsewhere(self, fingerprint: int, until: float) -> None:
-        """Note that another daemon runs a suspect."""
+        """Record that another daemon runs a suspect."""
         if self.count_ends(fingerprint):
-            self._elsewhere[fingerprint] = until
+            self._remote_runs[fingerprint] = until
 
-    def note_end(self, fingerprint: int, life: lives.Life, at: float) -> bool:
-        """Note that a process ended while it ran a request; return whether that is news."""
-        if life in self._cleared.get(fingerprint, ()):
+    def note_crash(self, fingerprint: int, process: lives.Life, at: float) -> bool:
+        """Record that a process ended while it ran a request; return whether that is new."""
+        if process in self._cleared.get(fingerprint, ()):
             return False
-        ends = self._ends.setdefault(fingerprint, {})
-        known = ends.get(life)
-        # Word that travels arrives later than what it tells of, never earlier.
-        ends[life] = at if known is None else min(known, at)
-        if len(self._ends) > self._most:
-            self._drop_least()
-        return known is None
-
-    def suspect(self, fingerprint: int, life: lives.Life, at: float) -> bool:
-        """Note that a run broke off as if its process had ended; return whether to look if it has.
-
-        Until that is known it counts here, and others are not told.
+        crash_times = self._crashes.setdefault(fingerprint, {})
+        known_at = crash_times.get(process)
+        # Message delays only make a crash look later than it was, so the earliest time is kept.
+        crash_times[process] = at if known_at is None else min(known_at, at)
+        if len(self._crashes) > self._max_requests:
+            self._evict()
+        return known_at is None
+
+    def suspect(self, fingerprint: int, process: lives.Life, at: float) -> bool:
+        """Record a run that broke off as in a crash; return whether the process has to be probed.
+
+        Until the crash is confirmed it counts only here and isn't shared with other daemons.
         """
-        is_first = life not in self._pending
-        self._pending.setdefault(life, {}).setdefault(fingerprint, at)
+        is_first = process not in self._unconfirmed
+        self._unconfirmed.setdefault(process, {}).setdefault(fingerprint, at)
         return is_first
 
-    def confirm(self, life: lives.Life) -> list[int]:
-        """Take over that a process has ended; return the requests that count more for it."""
-        pending = self._pending.pop(life, {})
-        return [x for x, at in pending.items() if self.note_end(x, life, at)]
+    def confirm(self, process: lives.Life) -> list[int]:
+        """Record that a process has indeed ended; return the requests whose count changed."""
+        pending = self._unconfirmed.pop(process, {})
+        return [x for x, at in pending.items() if self.note_crash(x, process, at)]
 
-    def withdraw(self, life: lives.Life) -> list[int]:
-        """Take back that a process has ended: it lives; return the requests under suspicion."""
-        return list(self._pending.pop(life, {}))
+    def withdraw(self, process: lives.Life) -> list[int]:
+        """Drop an unconfirmed crash, as the process is alive; return the requests involved."""
+        return list(self._unconfirmed.pop(process, {}))
 
     def clear(self, fingerprint: int, now: float) -> int:
-        """Note that a run of a request ended well; return how many ends counted against it."""
-        ends = self._list_ends(fingerprint)
-        for life in ends:
-            self._clear_of(fingerprint, life, now)
-        return len(ends)
+        """Record that a run completed; return how many crashes had counted against the request."""
+        crash_times = self._list_crashes(fingerprint)
+        for process in crash_times:
+            self._clear_crash(fingerprint, process, now)
+        return len(crash_times)
 
     def merge(self, ends: Iterable[End], cleared: Iterable[Clearing], now: float) -> list[int]:
-        """Take over what another daemon knows; return the requests that count more than before."""
+        """Merge another daemon's knowledge; return the requests whose count increased."""
         for clearing in cleared:
             for fingerprint in clearing.suspects:
-                self._clear_of(fingerprint, clearing.life, now)
-        news: dict[int, None] = {}
+                self._clear_crash(fingerprint, clearing.life, now)
+        changed: dict[int, None] = {}
         for end in ends:
             at = now - end.age
-            if end.age < KEPT_SECONDS:
-                news |= {x: None for x in end.suspects if self.note_end(x, end.life, at)}
-        return list(news)
+            if end.age < RETENTION_SECONDS:
+                changed |= {x: None for x in end.suspects if self.note_crash(x, end.life, at)}
+        return list(changed)
 
     def expire(self, now: float) -> None:
-        """Forget what is long over."""
-        for fingerprint, ends in list(self._ends.items()):
-            if max(ends.values()) < now - KEPT_SECONDS:
-                del self._ends[fingerprint]
+        """Remove expired records."""
+        for fingerprint, crash_times in list(self._crashes.items()):
+            if max(crash_times.values()) < now - RETENTION_SECONDS:
+                del self._crashes[fingerprint]
         for fingerprint, cleared in list(self._cleared.items()):
-            if max(cleared.values()) < now - KEPT_SECONDS:
+            if max(cleared.values()) < now - RETENTION_SECONDS:
                 del self._cleared[fingerprint]
-        self._elsewhere = {x: until for x, until in self._elsewhere.items() if until > now}
+        self._remote_runs = {x: until for x, until in self._remote_runs.items() if until > now}
 
     def export(self, now: float) -> tuple[list[End], list[Clearing]]:
-        """Return what others are reminded of."""
-        told = [
+        """Return the records to send to other daemons."""
+        exported = [
             x
-            for x, ends in self._ends.items()
-            if len(ends) >= TOLD_LIVES or max(ends.values()) > now - FRESH_SECONDS
+            for x, crash_times in self._crashes.items()
+            if len(crash_times) >= TOLD_LIVES or max(crash_times.values()) > now - RECENT_SECONDS
         ]
-        told.sort(key=lambda x: -len(self._ends[x]))
-        return self.export_ends(told[:MOST_TOLD], now), self._export_cleared(now)
+        exported.sort(key=lambda x: -len(self._crashes[x]))
+        return self.export_ends(exported[:MAX_EXPORTED], now), self._export_cleared(now)
 
     def export_ends(self, suspects: Suspects, now: float) -> list[End]:
-        """Return all ends under some requests."""
+        """Return all crashes that some requests were involved in."""
         rows: dict[lives.Life, list[int]] = {}
         for fingerprint in suspects:
-            for life in self._ends.get(fingerprint, ()):
-                rows.setdefault(life, []).append(fingerprint)
+            for process in self._crashes.get(fingerprint, ()):
+                rows.setdefault(process, []).append(fingerprint)
         return [
-            End(x.id, x.born, now - min(self._ends[s][x] for s in group), group)
+            End(x.id, x.born, now - min(self._crashes[s][x] for s in group), group)
             for x, group in rows.items()
         ]
 
     def _export_cleared(self, now: float) -> list[Clearing]:
         rows: dict[lives.Life, list[int]] = {}
-        for fingerprint, life in self._list_cleared(now - FRESH_SECONDS):
-            rows.setdefault(life, []).append(fingerprint)
+        for fingerprint, process in self._list_cleared(now - RECENT_SECONDS):
+            rows.setdefault(process, []).append(fingerprint)
         return [Clearing(x.id, x.born, group) for x, group in rows.items()]
 
     def _list_cleared(self, after: float) -> Iterator[tuple[int, lives.Life]]:
         for fingerprint, cleared in self._cleared.items():
             yield from ((fingerprint, x) for x, at in cleared.items() if at > after)
 
-    def _clear_of(self, fingerprint: int, life: lives.Life, now: float) -> None:
-        self._remove(fingerprint, life)
-        self._cleared.setdefault(fingerprint, {}).setdefault(life, now)
-        if len(self._cleared) > self._most:
+    def _clear_crash(self, fingerprint: int, process: lives.Life, now: float) -> None:
+        self._remove_crash(fingerprint, process)
+        self._cleared.setdefault(fingerprint, {}).setdefault(process, now)
+        if len(self._cleared) > self._max_requests:
             del self._cleared[next(iter(self._cleared))]
 
     def _is_running(self, fingerprint: int, now: float) -> bool:
         here_until = self._begun_at.get(fingerprint, float('-inf')) + RUN_MAX
-        return max(here_until, self._elsewhere.get(fingerprint, now)) > now
-
-    def _list_ends(self, fingerprint: int) -> dict[lives.Life, float]:
-        pending = {x: seen[fingerprint] for x, seen in self._pending.items() if fingerprint in seen}
-        return pending | self._ends.get(fingerprint, {})
-
-    def _remove(self, fingerprint: int, life: lives.Life) -> None:
-        self._pending.get(life, {}).pop(fingerprint, None)
-        ends = self._ends.get(fingerprint)
-        if ends is None:
+        return max(here_until, self._remote_runs.get(fingerprint, now)) > now
+
+    def _list_crashes(self, fingerprint: int) -> dict[lives.Life, float]:
+        pending = {
+            x: seen[fingerprint] for x, seen in self._unconfirmed.items() if fingerprint in seen
+        }
+        return pending | self._crashes.get(fingerprint, {})
+
+    def _remove_crash(self, fingerprint: int, process: lives.Life) -> None:
+        self._unconfirmed.get(process, {}).pop(fingerprint, None)
+        crash_times = self._crashes.get(fingerprint)
+        if crash_times is None:
             return
-        ends.pop(life, None)
-        if not ends:
-            del self._ends[fingerprint]
+        crash_times.pop(process, None)
+        if not crash_times:
+            del self._crashes[fingerprint]
 
-    def _drop_least(self) -> None:
-        order = sorted(self._ends, key=lambda x: (len(self._ends[x]), max(self._ends[x].values())))
-        for fingerprint in order[:DROPPED]:
-            del self._ends[fingerprint]
+    def _evict(self) -> None:
+        order = sorted(
+            self._crashes, key=lambda x: (len(self._crashes[x]), max(self._crashes[x].values()))
+        )
+        for fingerprint in order[:EVICTION_BATCH]:
+            del self._crashes[fingerprint]
 
 
-def _compute_wait(ends: dict[lives.Life, float], now: float) -> float:
-    """Return the seconds until a request with these ends may be sent; not above 0: now."""
-    trials = len(ends) - LIVES
+def _compute_wait(crash_times: dict[lives.Life, float], now: float) -> float:
+    """Return the seconds until a request with these crashes may be sent; 0 or less means now."""
+    trials = len(crash_times) - LIVES
     if trials < 0:
         return 0.0
-    last = max(ends.values())
-    if trials >= TRIALS:
-        return max(1.0, last + KEPT_SECONDS - now)
+    last = max(crash_times.values())
+    if trials >= MAX_TRIALS:
+        return max(1.0, last + RETENTION_SECONDS - now)
     return last + TRIAL_AFTER - now
--- a/passpier/tests/core/catalogue_tests.py
+++ b/passpier/tests/core/catalogue_tests.py
@@ -1,4 +1,4 @@
-"""Replica entries that come, change, lapse, return or go for good."""
+"""Replica entries that are added, changed, expired, restored or removed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return {e.id for e in known.list_entries()}
 
 
-def test_a_vanished_replica_is_gone_at_once_in_calm() -> None:
+def test_without_an_outage_a_removed_entry_is_dropped_at_once() -> None:
     known = catalogue.Catalogue()
     known.put(make_entry('a'))
     change = known.remove('a', 10.0)
@@ -25,7 +25,7 @@
     assert not list_ids(known)
 
 
-def test_lapsed_entries_wait_for_their_return() -> None:
+def test_entries_that_expire_in_an_outage_get_a_grace_period() -> None:
     known = catalogue.Catalogue()
     for id in 'ab':
         known.put(make_entry(id))
@@ -38,7 +38,7 @@
     assert list_ids(known) == {'a'}
 
 
-def test_leaving_binds_whatever_is_disturbed() -> None:
+def test_an_outage_does_not_undo_draining() -> None:
     known = catalogue.Catalogue()
     known.put(make_entry('a', draining=True))
     known.note_disturbance(10.0)
@@ -48,7 +48,7 @@
     assert change is not None and change.entry is None
 
 
-def test_an_address_used_again_is_another_replica() -> None:
+def test_a_reused_address_belongs_to_another_replica() -> None:
     known = catalogue.Catalogue()
     known.put(make_entry('a', address='x:1'))
     known.put(msgspec.structs.replace(make_entry('b', address='x:1'), service='other'))
@@ -56,55 +56,55 @@
     assert [(e.id, e.service) for e in known.list_entries()] == [('b', 'other')]
 
 
-class Life(hypothesis.stateful.RuleBasedStateMachine):
-    """Oracle: believed iff listed, or lapsed lately in a disturbance and not leaving."""
+class CatalogueMachine(hypothesis.stateful.RuleBasedStateMachine):
+    """Oracle: a replica is known iff listed, or expired in a recent outage and not draining."""
 
     def __init__(self) -> None:
         super().__init__()
         self.known = catalogue.Catalogue()
         self.now = 0.0
-        self.until = float('-inf')
+        self.outage_until = float('-inf')
         self.listed: dict[str, bool] = {}
-        self.lapsed: set[str] = set()
-        self.leaving: set[str] = set()
+        self.expired: set[str] = set()
+        self.draining_ids: set[str] = set()
 
     @hypothesis.stateful.rule(id=st.sampled_from('abc'), draining=st.booleans())
     def put(self, id: str, draining: bool) -> None:
-        believed = id in self.listed or id in self.lapsed
-        if draining or not believed:
-            self.leaving.discard(id)
+        known = id in self.listed or id in self.expired
+        if draining or not known:
+            self.draining_ids.discard(id)
             if draining:
-                self.leaving.add(id)
+                self.draining_ids.add(id)
         self.listed[id] = draining
-        self.lapsed.discard(id)
+        self.expired.discard(id)
         self.known.put(make_entry(id, draining))
 
     @hypothesis.stateful.rule(id=st.sampled_from('abc'))
     def remove(self, id: str) -> None:
         if self.listed.pop(id, None) is not None:
-            if self.now < self.until and id not in self.leaving:
-                self.lapsed.add(id)
+            if self.now < self.outage_until and id not in self.draining_ids:
+                self.expired.add(id)
             else:
-                self.leaving.discard(id)
+                self.draining_ids.discard(id)
         self.known.remove(id, self.now)
 
     @hypothesis.stateful.rule()
-    def disturb(self) -> None:
-        self.until = max(self.until, self.now + catalogue.RETURN_GRACE)
+    def begin_outage(self) -> None:
+        self.outage_until = max(self.outage_until, self.now + catalogue.RETURN_GRACE)
         self.known.note_disturbance(self.now)
 
     @hypothesis.stateful.rule(seconds=st.floats(0.1, 3.0))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        if self.now >= self.until:
-            self.lapsed.clear()
+        if self.now >= self.outage_until:
+            self.expired.clear()
         self.known.expire(self.now)
 
     @hypothesis.stateful.invariant()
-    def believes_what_the_oracle_does(self) -> None:
+    def matches_the_oracle(self) -> None:
         entries = {e.id: e.draining for e in self.known.list_entries()}
-        assert set(entries) == set(self.listed) | self.lapsed
-        assert {i for i, d in entries.items() if d} == self.leaving & set(entries)
+        assert set(entries) == set(self.listed) | self.expired
+        assert {i for i, d in entries.items() if d} == self.draining_ids & set(entries)
 
 
-TestLife = Life.TestCase
+TestCatalogue = CatalogueMachine.TestCase
--- a/passpier/tests/core/choice_tests.py
+++ b/passpier/tests/core/choice_tests.py
@@ -85,7 +85,7 @@
 
 
 def test_a_hot_prefix_spreads_and_returns_to_its_home() -> None:
-    """Other replicas take over while the home is loaded, and keep some requests once they cache it."""
+    """While the home is loaded, other replicas take over, and stay in use once they cache it."""
     pool, cache = make_pool()
     home = next(r for r in pool if r.name == choose(pool, cache).name)
     cache.add(home.name, 'i', CHAIN, view.Evidence.ANSWER, 1.0)
