--- a/passpier/core/catalogue.py
+++ b/passpier/core/catalogue.py
@@ -131,7 +131,11 @@
         The new process isn't draining, even if the previous one was.
         """
         known = self._known.get(process.id)
-        if known is None or process.born <= known.entry.born or process.born in known.ended_processes:
+        if (
+            known is None
+            or process.born <= known.entry.born
+            or process.born in known.ended_processes
+        ):
             return None
         entry = msgspec.structs.replace(
             known.entry, born=process.born, draining=False, versions=dict(versions)
--- a/passpier/core/members.py
+++ b/passpier/core/members.py
@@ -1,8 +1,8 @@
-"""Which daemons are alive, by heartbeat counters that spread from peer to peer.
+"""Tracks which daemons are alive, by gossip of heartbeat counters.
 
-Each daemon sends, every heartbeat, the counters that advanced most recently to a few others. The
-store's list says who exists; a counter that stands still says who is gone. Neither clock nor
-lease of another VM is trusted.
+With every heartbeat, each daemon sends the counters that advanced most recently to a few others.
+The list in the store says which daemons exist; a counter that stops advancing means that its daemon
+is gone. Clocks and leases of other VMs are not trusted.
 """
 
 from __future__ import annotations
@@ -13,38 +13,38 @@
 import msgspec
 
 FANOUT = 3
-"""Peers that each heartbeat goes to."""
+"""Peers to which each heartbeat is sent."""
 
-FAR_TARGETS = 1
-"""Of these, how many lie in other failure domains if there are enough in the own one."""
+REMOTE_DOMAIN_TARGETS = 1
+"""How many of them are in other failure domains, if there are enough in the own one."""
 
 DIGEST_LIMIT = 48
-"""Members that one heartbeat speaks of."""
+"""Maximum number of members in one heartbeat."""
 
 SUSPECT_BEATS = 6.0
-"""Heartbeats without advance after which a member counts as gone, in a small fleet."""
+"""Heartbeats without progress after which a member counts as gone, in a small fleet."""
 
-FIRST_BEATS = 3.0
-"""Heartbeats within which a member that was only heard of has to be heard from."""
+FIRST_CONTACT_BEATS = 3.0
+"""Heartbeats within which a member that is only listed has to show a first heartbeat."""
 
 SMALL_FLEET = 8
-"""Members up to which everybody is told of loads and caches, requests or not."""
+"""Members up to which load and cache updates are sent to all, whether they take requests or not."""
 
-CARRYING_SHARE = 0.1
-"""Part of the highest rate of requests from which on a daemon counts as taking requests."""
+ACTIVE_RATE_SHARE = 0.1
+"""Share of the highest request rate from which on a daemon counts as active."""
 
-CARRYING_LEAST = 0.1
-"""Requests a second below which it does not, however few the others take."""
+ACTIVE_RATE_MIN = 0.1
+"""Requests per second below which a daemon never counts as active."""
 
-REMOVED_KEPT = 1000
-"""Removed members whose last counter is remembered."""
+MAX_REMOVED = 1000
+"""Maximum number of removed members whose last counter is remembered."""
 
 FORGET_SECONDS = 600.0
-"""Seconds after which a member that is gone is forgotten."""
+"""Seconds after which a member that is gone is removed."""
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A daemon's incarnation and where it is reached."""
+    """A daemon incarnation and its addresses."""
 
     name: str
     incarnation: str
@@ -53,7 +53,7 @@
     peer_port: int
     failure_domain: str
     capacity: float = 1.0
-    """Processor cores that the VM gives to the daemon."""
+    """CPU cores available to the daemon on its VM."""
 
     @property
     def entry(self) -> str:
@@ -67,9 +67,9 @@
 
 
 class Beat(msgspec.Struct, frozen=True, array_like=True):
-    """What a heartbeat says of one member; sent often, so without field names.
+    """One member's state in a heartbeat; encoded without field names, as it is sent often.
 
-    `epoch` and `confirmed`, a revision, are the generation of shares that it has confirmed.
+    `epoch` and `confirmed` (a revision) are the generation of shares that the member has confirmed.
     """
 
     incarnation: str
@@ -79,10 +79,10 @@
     confirmed: int = 0
     leaving: bool = False
     rate: float = 0.0
-    """Requests of callers that it took in a second, lately."""
+    """Recent rate of callers' requests, per second."""
 
     known: int = 0
-    """The newest epoch that it has heard of, confirmed or not."""
+    """The newest epoch that the member has learnt of, confirmed or not."""
 
 
 class _Record(msgspec.Struct):
@@ -92,14 +92,14 @@
 
 
 class Membership:
-    """The members that this daemon knows of, itself included."""
+    """The members known to this daemon, including itself."""
 
     def __init__(self, own: Member, heartbeat: float, now: float) -> None:
         self.own = own
         self.heartbeat = heartbeat
         self._records = {own.incarnation: _Record(own, Beat(own.incarnation, 1), now)}
         self._removed: dict[str, int] = {}
-        """The last counter of members that were removed: older beats still travel."""
+        """The last counters of removed members, to ignore their beats that still circulate."""
 
     def __len__(self) -> int:
         return len(self._records)
@@ -114,7 +114,7 @@
         rate: float = 0.0,
         known: int = 0,
     ) -> None:
-        """Count this daemon's own heartbeat."""
+        """Advance this daemon's own heartbeat counter and set its state."""
         record = self._records[self.own.incarnation]
         counter = record.beat.counter + 1
         own = self.own.incarnation
@@ -122,13 +122,13 @@
         record.advanced_at = now
 
     def add(self, member: Member, now: float) -> bool:
-        """Add a member; an older incarnation of the same name is dropped."""
+        """Add a member, replacing an older incarnation of its name; return whether it was added."""
         if member.incarnation in self._records or member.incarnation in self._removed:
             return False
         for known in list(self._records.values()):
             if known.member.name != member.name or known.member is self.own:
                 continue
-            # Incarnations rise with the clock, but a clock may have been set back.
+            # Incarnations increase with the clock, but the clock may have been set back.
             newer = known.member.incarnation > member.incarnation
             if newer and self._is_alive(known, now, self.compute_timeout()):
                 return False
@@ -137,7 +137,7 @@
         return True
 
     def merge(self, beats: list[Beat], now: float) -> list[str]:
-        """Take over newer counters; return the incarnations that are not known."""
+        """Apply newer beats; return the incarnations that are not known."""
         unknown = []
         for beat in beats:
             record = self._records.get(beat.incarnation)
@@ -151,12 +151,12 @@
         return unknown
 
     def remove(self, incarnation: str) -> None:
-        """Forget a member that said that it stops, or that the store no longer lists."""
+        """Remove a member that announced its stop or is no longer listed in the store."""
         if incarnation != self.own.incarnation:
             record = self._records.pop(incarnation, None)
             if record is not None:
                 self._removed[incarnation] = record.beat.counter
-                while len(self._removed) > REMOVED_KEPT:
+                while len(self._removed) > MAX_REMOVED:
                     self._removed.pop(next(iter(self._removed)))
 
     def get(self, incarnation: str) -> Member | None:
@@ -179,104 +179,104 @@
         return [r.member for r in self._records.values()]
 
     def list_alive(self, now: float) -> list[Member]:
-        """Return the members whose counter advanced lately, this daemon included."""
-        patience = self.compute_timeout()
-        return [r.member for r in self._records.values() if self._is_alive(r, now, patience)]
+        """Return the members whose counter advanced recently, including this daemon."""
+        timeout = self.compute_timeout()
+        return [r.member for r in self._records.values() if self._is_alive(r, now, timeout)]
 
     def list_serving(self, now: float) -> list[Member]:
         """Return the live members that are not leaving."""
         return [m for m in self.list_alive(now) if not self._records[m.incarnation].beat.leaving]
 
     def list_interested(self, now: float) -> list[Member]:
-        """Return the other members that should know of loads and caches.
+        """Return the other members that need load and cache updates.
 
-        In a small fleet these are all that are alive, in a larger one those that took requests
-        lately.
+        In a small fleet these are all live members, in a larger one the active ones.
         """
-        return self._list_taking(self.list_alive(now))
+        return self._list_active(self.list_alive(now))
 
     def list_carrying(self) -> list[Member]:
-        """Return the other members that took requests by the last that was heard, alive or not.
+        """Return the other members that were active according to their last beat, alive or not.
 
-        In a small fleet these are all that are known.
+        In a small fleet these are all known members.
         """
-        return self._list_taking(self.list_known())
+        return self._list_active(self.list_known())
 
     def is_standing_by(self, now: float) -> bool:
-        """Return whether this daemon took no requests lately, in a fleet where others do."""
+        """Return whether this daemon isn't active, in a fleet that is large enough for standbys."""
         alive = self.list_alive(now)
         if len(alive) <= SMALL_FLEET:
             return False
-        return self.get_rate(self.own.incarnation) < self._compute_least_rate(alive)
+        return self.get_rate(self.own.incarnation) < self._compute_active_rate(alive)
 
-    def _list_taking(self, members: Sequence[Member]) -> list[Member]:
+    def _list_active(self, members: Sequence[Member]) -> list[Member]:
         others = [m for m in members if m is not self.own]
         if len(members) <= SMALL_FLEET:
             return others
-        least = self._compute_least_rate(members)
-        return [m for m in others if self.get_rate(m.incarnation) >= least]
+        threshold = self._compute_active_rate(members)
+        return [m for m in others if self.get_rate(m.incarnation) >= threshold]
 
-    def _compute_least_rate(self, alive: Sequence[Member]) -> float:
-        """Return the requests a second from which on a daemon counts as taking requests.
+    def _compute_active_rate(self, alive: Sequence[Member]) -> float:
+        """Return the requests per second from which on a daemon counts as active.
 
-        Those that stand by get some too: from callers with old addresses, and from operators who
-        look whether a configuration is in force.
+        Standby daemons get some requests, too: from callers with old addresses, and from operators
+        that check whether a configuration is in force.
         """
-        most = max(self.get_rate(m.incarnation) for m in alive)
-        return max(most * CARRYING_SHARE, CARRYING_LEAST)
+        highest = max(self.get_rate(m.incarnation) for m in alive)
+        return max(highest * ACTIVE_RATE_SHARE, ACTIVE_RATE_MIN)
 
     def get_rate(self, incarnation: str) -> float:
-        """Return the requests a second that a member took lately."""
+        """Return a member's recent requests per second."""
         record = self._records.get(incarnation)
         return record.beat.rate if record else 0.0
 
     def map_rates(self, members: Sequence[Member]) -> dict[str, float]:
-        """Return the requests a second that members took lately, by incarnation."""
+        """Return the recent requests per second of members, by incarnation."""
         return {m.incarnation: self.get_rate(m.incarnation) for m in members}
 
     def compute_timeout(self) -> float:
         """Return the seconds of silence after which a member counts as gone."""
-        rounds = len(self._records) / (FANOUT * DIGEST_LIMIT)
-        return self.heartbeat * (SUSPECT_BEATS + 2 * rounds)
+        spread_rounds = len(self._records) / (FANOUT * DIGEST_LIMIT)
+        return self.heartbeat * (SUSPECT_BEATS + 2 * spread_rounds)
 
-    def _is_alive(self, record: _Record, now: float, patience: float) -> bool:
-        # The own record holds this very member; comparing all fields would cost most of this.
+    def _is_alive(self, record: _Record, now: float, timeout: float) -> bool:
+        # Compared by identity, as comparing all fields would dominate the cost of this method.
         if record.member is self.own:
             return True
         if not record.beat.counter:
-            patience = min(patience, self.heartbeat * FIRST_BEATS)
-        return record.advanced_at >= now - patience
+            timeout = min(timeout, self.heartbeat * FIRST_CONTACT_BEATS)
+        return record.advanced_at >= now - timeout
 
     def make_digest(self, rng: random.Random, now: float) -> list[Beat]:
-        """Return the own beat, half the freshest others and a random rest.
+        """Return the own beat, the most recently advanced others and a random sample of the rest.
 
-        Who is silent is left out: whoever hears of a member for the first time takes it for alive.
+        Silent members are left out, because a receiver takes a member that is new to it for alive.
         """
         own = self._records[self.own.incarnation].beat
-        patience = self.compute_timeout()
+        timeout = self.compute_timeout()
         others = [r for r in self._records.values() if r.member is not self.own]
-        others = [r for r in others if r.beat.counter and self._is_alive(r, now, patience)]
+        others = [r for r in others if r.beat.counter and self._is_alive(r, now, timeout)]
         if len(others) >= DIGEST_LIMIT:
             others.sort(key=lambda r: -r.advanced_at)
-            fresh = others[: DIGEST_LIMIT // 2]
+            recent = others[: DIGEST_LIMIT // 2]
             rest = others[DIGEST_LIMIT // 2 :]
-            others = fresh + rng.sample(rest, min(len(rest), DIGEST_LIMIT - 1 - len(fresh)))
+            others = recent + rng.sample(rest, min(len(rest), DIGEST_LIMIT - 1 - len(recent)))
         return [own] + [r.beat for r in others]
 
     def choose_targets(self, rng: random.Random, count: int = FANOUT) -> list[Member]:
-        """Return the peers to send to: one from anywhere else, the rest from the own domain.
+        """Return random peers to gossip with: one in another failure domain, the others in the own.
 
-        They are drawn from all known, so that a healed cut is noticed. Bytes between failure
-        domains cost; one message in three is enough to carry everything across.
+        They are drawn from all known members, alive or not, so that a healed partition is noticed.
+        Traffic between failure domains is charged; one message in three is enough to spread
+        everything across them.
         """
         others = [r.member for r in self._records.values() if r.member is not self.own]
-        near = [m for m in others if m.failure_domain == self.own.failure_domain]
-        far = [m for m in others if m.failure_domain != self.own.failure_domain]
-        chosen = rng.sample(near, min(max(0, count - FAR_TARGETS), len(near)))
-        return chosen + rng.sample(far, min(count - len(chosen), len(far)))
+        local = [m for m in others if m.failure_domain == self.own.failure_domain]
+        remote = [m for m in others if m.failure_domain != self.own.failure_domain]
+        chosen = rng.sample(local, min(max(0, count - REMOTE_DOMAIN_TARGETS), len(local)))
+        return chosen + rng.sample(remote, min(count - len(chosen), len(remote)))
 
     def forget_gone(self, now: float) -> None:
-        """Drop members that have been gone for long."""
+        """Remove members that have been gone for long."""
         for record in list(self._records.values()):
             if record.advanced_at < now - FORGET_SECONDS:
                 self.remove(record.member.incarnation)
--- a/passpier/tests/core/members_tests.py
+++ b/passpier/tests/core/members_tests.py
@@ -1,4 +1,4 @@
-"""Membership, entries, planned stops and orders."""
+"""Membership, entry ranking, planned stops and orders."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Gossip:
-    """Daemons that beat once a second and lose a share of their messages."""
+    """Simulated daemons that send a heartbeat per second and lose a share of the messages."""
 
     def __init__(self, size: int, loss: float, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -52,42 +52,40 @@
 
 
 @pytest.mark.parametrize(('size', 'loss'), [(8, 0.0), (8, 0.3), (120, 0.1)])
-def test_the_dead_are_found_and_the_living_are_kept(size: int, loss: float) -> None:
+def test_stopped_daemons_are_detected_and_live_ones_are_kept(size: int, loss: float) -> None:
     gossip = Gossip(size, loss, seed=size)
     gossip.run(20)
     gossip.stopped = {1, 5}
     timeout = gossip.daemons[0].compute_timeout()
     gossip.run(int(timeout) + 12)
-    wrong = 0
+    missing = 0
     for number, daemon in enumerate(gossip.daemons):
         if number in gossip.stopped:
             continue
         alive = {m.name for m in daemon.list_alive(gossip.now)}
         assert not alive & {'vm-1', 'vm-5'}
-        wrong += size - len(gossip.stopped) - len(alive)
-    assert wrong <= size * size * 0.01
+        missing += size - len(gossip.stopped) - len(alive)
+    assert missing <= size * size * 0.01
 
 
 @hypothesis.given(st.integers(2, 60), st.randoms(use_true_random=False))
-def test_most_heartbeats_stay_in_their_domain_and_some_leave_it(
-    size: int, rng: random.Random
-) -> None:
+def test_most_heartbeats_stay_in_the_own_failure_domain(size: int, rng: random.Random) -> None:
     own = members.Membership(make_member(0), 1.0, 0.0)
     for number in range(1, size):
         own.add(make_member(number), 0.0)
     targets = own.choose_targets(rng)
     assert len({t.incarnation for t in targets}) == min(size - 1, members.FANOUT)
-    far = sum(t.failure_domain != own.own.failure_domain for t in targets)
+    remote = sum(t.failure_domain != own.own.failure_domain for t in targets)
     if size >= 12:
-        assert far == members.FAR_TARGETS
-    assert far >= min(size - 1, members.FAR_TARGETS)
+        assert remote == members.REMOTE_DOMAIN_TARGETS
+    assert remote >= min(size - 1, members.REMOTE_DOMAIN_TARGETS)
 
 
-def test_in_a_large_fleet_only_those_that_carry_requests_are_told_of_loads() -> None:
+def test_in_a_large_fleet_only_active_members_get_load_updates() -> None:
     own = members.Membership(make_member(0), 1.0, 0.0)
     for number in range(1, 69):
         own.add(make_member(number), 0.0)
-    # All of them are asked now and then whether a configuration is in force.
+    # Operators check on all of them whether a configuration is in force.
     rates = {n: 40.0 if n < 12 else 1.5 for n in range(1, 69)}
     own.merge([members.Beat(f'i{n:04}', 1, rate=r) for n, r in rates.items()], 1.0)
     assert {m.name for m in own.list_interested(1.0)} == {f'vm-{n}' for n in range(1, 12)}
@@ -96,7 +94,7 @@
     assert not own.is_standing_by(1.0)
 
 
-def test_in_a_small_fleet_everybody_is_told_of_loads() -> None:
+def test_in_a_small_fleet_all_members_get_load_updates() -> None:
     own = members.Membership(make_member(0), 1.0, 0.0)
     for number in range(1, 8):
         own.add(make_member(number), 0.0)
@@ -113,7 +111,7 @@
     assert own.get('new') is None
 
 
-def test_a_leaving_daemon_is_in_no_answer() -> None:
+def test_a_leaving_daemon_is_not_ranked() -> None:
     own = members.Membership(make_member(0), 1.0, 0.0)
     own.add(make_member(1), 0.0)
     own.merge([members.Beat('i0001', 5, leaving=True)], 1.0)
@@ -124,7 +122,7 @@
 
 
 @hypothesis.given(st.text(max_size=8), st.integers(4, 40))
-def test_entries_lie_in_different_failure_domains(account: str, size: int) -> None:
+def test_entries_are_in_different_failure_domains(account: str, size: int) -> None:
     serving = [make_member(n) for n in range(size)]
     ranked = entries.rank_entries(account, serving, 3)
     assert len({e.failure_domain for e in ranked}) == 3
@@ -162,7 +160,7 @@
 
 
 class Engine:
-    """An upstream that does or does not check fencing numbers."""
+    """An upstream that may check fencing tokens."""
 
     def __init__(self, checks: bool) -> None:
         self.checks = checks
@@ -176,31 +174,31 @@
         self.version = version
 
 
-class ImpatientBook(orders.OrderBook):
-    """Broken variant: a new holder does not wait out the orders of the one before it."""
+class NoWaitBook(orders.OrderBook):
+    """Broken variant: a new lease holder doesn't wait for its predecessor's orders to end."""
 
     def _may_order(self, item: orders.Wanted, now: float) -> bool:
         return True
 
 
-def play_handover(book_type: type[orders.OrderBook], checks: bool, late_at: float) -> str:
-    """An old holder's order arrives late, while a new holder keeps the wanted state."""
+def simulate_handover(book_type: type[orders.OrderBook], checks: bool, late_order_at: float) -> str:
+    """Deliver an old holder's order late, while a new holder maintains the wanted state."""
     engine = Engine(checks)
     book = book_type(fence=2, held_since=0.0)
     wanted = orders.Wanted('e', 'm', 'v2', (), checks)
     now = 0.0
     sent_late = False
-    # One second a step; the observation stops once the state has been right after the wait.
+    # One step per second, for long enough that the late order is corrected after the wait.
     while now < 3 * orders.LONGEST_ORDER:
-        if not sent_late and now >= late_at:
+        if not sent_late and now >= late_order_at:
             engine.take(1, 'v0')
             sent_late = True
         seen = [orders.Observed('e', engine.version)]
         for order in book.plan([wanted], seen, 2, now):
             engine.take(book.fence, order.weight_version)
             book.finish('e')
-            if book_type is ImpatientBook:
-                now = max(now, late_at)
+            if book_type is NoWaitBook:
+                now = max(now, late_order_at)
                 engine.take(1, 'v0')
                 return engine.version
         now += 1.0
@@ -208,16 +206,16 @@
 
 
 @pytest.mark.parametrize('checks', [True, False])
-@hypothesis.given(late_at=st.floats(0, orders.LONGEST_ORDER))
-def test_no_older_order_wins_in_the_end(checks: bool, late_at: float) -> None:
-    assert play_handover(orders.OrderBook, checks, late_at) == 'v2'
+@hypothesis.given(late_order_at=st.floats(0, orders.LONGEST_ORDER))
+def test_a_late_order_is_corrected_in_the_end(checks: bool, late_order_at: float) -> None:
+    assert simulate_handover(orders.OrderBook, checks, late_order_at) == 'v2'
 
 
 def test_broken_variant_is_caught() -> None:
-    assert play_handover(ImpatientBook, False, 10.0) == 'v0'
+    assert simulate_handover(NoWaitBook, False, 10.0) == 'v0'
 
 
-def test_orders_keep_the_rate_and_most_replicas_serving() -> None:
+def test_orders_respect_the_load_limit_and_keep_replicas_serving() -> None:
     book = orders.OrderBook(fence=1, held_since=-orders.LONGEST_ORDER, max_loads=2)
     wanted = [orders.Wanted(str(n), 'm', 'v2', (), False) for n in range(6)]
     seen = [orders.Observed(str(n), 'v1') for n in range(6)]
@@ -227,7 +225,7 @@
     assert len(book.plan(wanted, seen, 2, 40.0)) == 1
 
 
-def test_old_beats_do_not_bring_back_who_is_gone() -> None:
+def test_old_beats_do_not_restore_removed_members() -> None:
     own = members.Membership(make_member(0), 1.0, 0.0)
     own.add(make_member(1), 0.0)
     own.merge([members.Beat('i0001', 7)], 1.0)
@@ -238,7 +236,7 @@
     assert own.add(make_member(1), 21.0)
 
 
-def test_who_is_silent_is_not_told_of_as_if_alive() -> None:
+def test_silent_members_are_left_out_of_digests() -> None:
     own = members.Membership(make_member(0), 1.0, 0.0)
     own.add(make_member(1), 0.0)
     own.merge([members.Beat('i0001', 7)], 1.0)
@@ -248,16 +246,16 @@
     assert {b.incarnation for b in own.make_digest(rng, late)} == {'i0000'}
 
 
-def test_a_listed_daemon_that_never_beats_is_soon_not_named() -> None:
+def test_a_listed_daemon_without_heartbeats_times_out_early() -> None:
     own = members.Membership(make_member(0), 1.0, 0.0)
     own.add(make_member(1), 10.0)
     assert [m.name for m in own.list_serving(11.0)] == ['vm-0', 'vm-1']
-    assert [m.name for m in own.list_serving(10.1 + members.FIRST_BEATS)] == ['vm-0']
+    assert [m.name for m in own.list_serving(10.1 + members.FIRST_CONTACT_BEATS)] == ['vm-0']
     own.merge([members.Beat('i0001', 1)], 14.0)
-    assert len(own.list_serving(14.0 + members.FIRST_BEATS)) == 2
+    assert len(own.list_serving(14.0 + members.FIRST_CONTACT_BEATS)) == 2
 
 
-def test_a_restart_under_a_clock_that_was_set_back_is_listed_once_the_old_one_is_silent() -> None:
+def test_a_restart_with_an_earlier_clock_is_added_once_the_old_one_is_silent() -> None:
     own = members.Membership(make_member(0), 1.0, 0.0)
     own.add(make_member(1, 'later'), 0.0)
     own.merge([members.Beat('later', 5)], 1.0)
--- a/passpier/tests/core/rollout_tests.py
+++ b/passpier/tests/core/rollout_tests.py
@@ -1,4 +1,4 @@
-"""Bringing replicas to named weights, against replicas that lose, delay and forget orders."""
+"""Rollout of released weights to replicas that lose, delay and ignore orders."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return [rollout.State(r, {'m': v}, r in draining) for r, v in versions.items()]
 
 
-def test_two_of_five_load_at_once() -> None:
+def test_two_of_five_replicas_load_at_once() -> None:
     plan = rollout.Rollout()
     wanted = [rollout.Wanted('m', 2)]
     states = make_states(dict.fromkeys('abcde', 1))
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize('size', [5, 45, 70, 670])
-def test_a_large_pool_has_new_weights_in_as_few_rounds_as_a_small_one(size: int) -> None:
+def test_the_number_of_rounds_does_not_depend_on_the_pool_size(size: int) -> None:
     plan = rollout.Rollout()
     versions = {f'r{n}': 1 for n in range(size)}
     wanted = [rollout.Wanted('m', 2)]
@@ -42,7 +42,7 @@
     assert rounds == 3
 
 
-def test_half_of_a_small_pool_goes_on_serving() -> None:
+def test_most_of_a_small_pool_keeps_serving() -> None:
     plan = rollout.Rollout()
     wanted = [rollout.Wanted('m', 2)]
     states = make_states({'a': 1, 'b': 1, 'c': 1, 'd': 1}, draining=('d',))
@@ -50,15 +50,15 @@
     assert len(rollout.Rollout().choose(wanted, make_states({'a': 1}), 0.0)) == 1
 
 
-def test_an_order_without_effect_is_given_again() -> None:
+def test_an_order_without_effect_is_repeated() -> None:
     plan = rollout.Rollout()
     wanted = [rollout.Wanted('m', 2)]
     states = make_states({'a': 1})
     assert plan.choose(wanted, states, 0.0)
-    assert plan.choose(wanted, states, rollout.ORDER_PATIENCE + 0.1)
+    assert plan.choose(wanted, states, rollout.ORDER_TIMEOUT + 0.1)
 
 
-def test_a_replica_that_takes_no_order_holds_up_no_other() -> None:
+def test_a_replica_that_accepts_no_order_does_not_block_others() -> None:
     plan = rollout.Rollout()
     wanted = [rollout.Wanted('m', 2)]
     versions = {'a': 1, 'b': 1, 'c': 1, 'd': 1, 'e': 2}
@@ -77,19 +77,19 @@
     assert ordered.count('a') <= 4
 
 
-def test_the_newest_version_is_ordered_straight_away() -> None:
+def test_intermediate_versions_are_skipped() -> None:
     plan = rollout.Rollout()
     orders = plan.choose([rollout.Wanted('m', 5)], make_states({'a': 1, 'b': 4}), 0.0)
     assert {o.version for o in orders} == {5}
 
 
-def test_leaving_and_foreign_replicas_are_left_alone() -> None:
+def test_draining_replicas_and_other_models_get_no_orders() -> None:
     plan = rollout.Rollout()
     states = [*make_states({'a': 1, 'b': 1}, draining=('a',)), rollout.State('c', {'other': 1})]
     assert [o.replica for o in plan.choose([rollout.Wanted('m', 2)], states, 0.0)] == ['b']
 
 
-def test_a_model_that_is_being_loaded_holds_up_no_other() -> None:
+def test_models_are_loaded_independently() -> None:
     plan = rollout.Rollout()
     wanted = [rollout.Wanted('m', 2), rollout.Wanted('n', 2)]
     states = [rollout.State(r, {m: 1}) for r, m in (('a', 'm'), ('b', 'm'), ('c', 'n'), ('d', 'n'))]
@@ -97,15 +97,15 @@
 
 
 def test_the_most_outdated_weights_are_replaced_first() -> None:
-    """They leave routing first, and may not serve any more while they wait for their turn."""
+    """They are the first to be excluded from routing while they wait."""
     plan = rollout.Rollout()
     states = make_states({'a': 8, 'b': 8, 'c': 7, 'd': 9, 'e': 8})
     orders = plan.choose([rollout.Wanted('m', 10)], states, 0.0)
     assert [o.replica for o in orders] == ['c', 'a']
 
 
-def test_the_late_end_of_an_order_ends_no_newer_one() -> None:
-    """The newer one lost its mark, and the replica was passed over while it was loading."""
+def test_the_late_end_of_an_order_does_not_close_a_newer_one() -> None:
+    """Guards against closing the newer order, so that another one is given during the load."""
     plan = rollout.Rollout()
     wanted = [rollout.Wanted('m', 2)]
     states = make_states({'a': 1})
@@ -119,7 +119,7 @@
     assert plan.choose(wanted, states, 0.4)
 
 
-def test_pending_until_all_have_the_version() -> None:
+def test_a_rollout_is_pending_until_all_replicas_have_the_version() -> None:
     plan = rollout.Rollout()
     wanted = [rollout.Wanted('m', 2)]
     assert plan.is_pending(wanted, make_states({'a': 2, 'b': 1}))
@@ -127,7 +127,7 @@
 
 
 @hypothesis.given(st.integers(0, 10_000), st.integers(1, 9))
-def test_every_replica_comes_to_the_newest_version(seed: int, count: int) -> None:
+def test_every_replica_reaches_the_newest_version(seed: int, count: int) -> None:
     rng = random.Random(seed)
     plan = rollout.Rollout()
     versions = {str(n): 1 for n in range(count)}
@@ -153,8 +153,8 @@
     assert set(versions.values()) == {target}
 
 
-def test_an_order_to_a_process_that_has_ended_keeps_no_other_waiting() -> None:
-    """It counted as under way for six seconds, and as one of the few that may load at once."""
+def test_an_order_to_an_ended_process_does_not_block_its_successor() -> None:
+    """Guards against counting it as open, and as one of the few loads, until it times out."""
     orders = rollout.Rollout()
     wanted = [rollout.Wanted('m', 2)]
     first = orders.choose(wanted, [rollout.State('a', {'m': 1}, born=1000)], 10.0)
--- a/passpier/tests/core/throttles_tests.py
+++ b/passpier/tests/core/throttles_tests.py
@@ -1,4 +1,4 @@
-"""The parts of a replica's limit that daemons have: their sum, and how much of it they can use."""
+"""Daemons' shares of a replica's limit: their sum and how much of it can be used."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def send_greedily(known: list[throttles.Throttle], seconds: float, start: float) -> list[float]:
-    """Send whatever the throttles let through; return the times."""
+    """Send as many requests as the throttles allow; return their times."""
     return [
         start + step * STEP
         for step in range(int(seconds / STEP))
@@ -44,20 +44,20 @@
 
 
 @given(LIMITS, st.integers(1, 420), st.floats(0.0, 100.0))
-def test_what_is_saved_up_keeps_within_what_is_tolerated(
-    limit: float, daemons: int, rested: float
+def test_a_burst_after_a_rest_stays_within_the_tolerance(
+    limit: float, daemons: int, rest: float
 ) -> None:
-    known = build_throttles(limit, list_names(daemons), -rested)
+    known = build_throttles(limit, list_names(daemons), -rest)
     assert promises.find_over_limit(send_greedily(known, SECONDS, 0.0), limit) == []
 
 
 @given(LIMITS, st.integers(2, 40), st.integers(0, 2**16))
-def test_a_limit_holds_while_some_do_not_know_of_one_daemon(
+def test_a_limit_holds_while_some_daemons_do_not_know_one_of_them(
     limit: float, daemons: int, seed: int
 ) -> None:
-    """Heartbeats tell of a daemon that has come or gone to one after the other.
+    """Gossip spreads the start or loss of a daemon to the others one by one.
 
-    Its own requests do not count: it has started, or it is cut off.
+    The requests of that daemon are not counted: it has just started or is partitioned.
     """
     rng = random.Random(seed)
     names = list_names(daemons)
@@ -70,7 +70,7 @@
     assert promises.find_over_limit(send_greedily(known, SECONDS, 0.0), limit) == []
 
 
-def test_daemons_agree_on_who_sends() -> None:
+def test_daemons_agree_on_the_senders() -> None:
     names = list_names(8)
     senders = [n for n in names if throttles.compute_share('llm-0', 1.0, n, names).rate]
     assert len(senders) == 3
@@ -84,14 +84,14 @@
     assert not throttle.take(10.9)
 
 
-def test_a_smaller_part_takes_what_no_longer_fits() -> None:
+def test_a_smaller_share_cuts_the_level() -> None:
     throttle = throttles.Throttle(throttles.Share(10.0, 5.0), 0.0)
     assert throttle.has_token(1.0)
     throttle.configure(throttles.Share(1.0, 1.0), 1.0)
     assert [throttle.take(1.0), throttle.take(1.0)] == [True, False]
 
 
-def test_who_has_no_part_sends_only_what_is_granted() -> None:
+def test_a_daemon_without_a_share_sends_only_granted_probes() -> None:
     throttle = throttles.Throttle(throttles.NO_SHARE, 0.0)
     assert not throttle.has_token(1000.0)
     assert throttle.compute_ready_at(1000.0) == float('inf')
