--- a/passpier/core/shares.py
+++ b/passpier/core/shares.py
@@ -1,16 +1,16 @@
-"""Limits of client accounts, kept over all daemons without coordination on each request.
-
-An account's limit is a number of units. Each daemon holds some of them and spends only those; a
-daemon without a free one borrows one from a holder for the length of one request.
-Who holds how many follows from a generation (epoch of holders, configuration revision).
-While a generation is not settled, that is until every holder has confirmed it, a daemon spends
-at most the least that any unsettled or last settled generation gives it. Whatever mixture of
-generations the daemons are in, the sum of their units never exceeds a limit.
-
-Nobody can tell a store that is down from a cut that only the own side of it does not reach. So a
-daemon goes on without the store only while it hears more than half of the holders, and units of
-holders that vanished are given out again only by one that does not miss more than half of them: of
-the two sides of a cut at most one is right.
+"""Limits of client accounts, enforced over all daemons without coordination per request.
+
+An account's limit is a number of units. Each daemon holds some of them and uses only those; a
+daemon without a free unit borrows one from a holder for the duration of one request.
+The number of units per daemon follows from a generation (epoch of holders and configuration
+revision). A generation is settled once every holder has confirmed it. Until then, a daemon uses at
+most the minimum of what the last settled and all later generations grant it. Whatever mixture of
+generations the daemons are in, the sum of their units never exceeds the limit.
+
+A daemon can't distinguish an outage of the store from a partition that separates only its own side
+from it. So a daemon continues without the store only while it is in contact with more than half of
+the holders, and the units of lost holders are reassigned only by a daemon that misses at most half
+of them: of the two sides of a partition, at most one may do either.
 """
 
 from __future__ import annotations
@@ -23,21 +23,22 @@
 from passpier.core import rendezvous
 
 FENCE_SECONDS = 30.0
-"""Seconds without word from the store or most holders after which a daemon spends nothing."""
+"""Seconds without contact to the store or most holders after which a daemon uses no units."""
 
 GONE_SECONDS = 60.0
-"""Seconds of silence after which a holder whose lease has lapsed is certainly fenced."""
+"""Seconds of silence after which a holder with an expired lease has certainly fenced itself."""
 
 CONFIRM_SECONDS = 40.0
-"""Seconds for which an epoch that leaves out a vanished holder is not confirmed: that long it may
-still go by a sign of life from before this daemon knew of the epoch, relayed for some seconds."""
+"""Seconds for which an epoch that drops a lost holder is not confirmed. For that long, the holder
+may rely on a contact from before this daemon knew of the epoch, which is relayed for some
+seconds."""
 
 LOAN_GRACE = 5.0
-"""Seconds for which a loan may be missing from its borrower's list."""
+"""Seconds for which a new loan may be missing from its borrower's list."""
 
 
 class Generation(msgspec.Struct, frozen=True, order=True):
-    """An epoch of holders with a configuration revision."""
+    """An epoch of holders combined with a configuration revision."""
 
     epoch: int
     revision: int
@@ -48,33 +49,33 @@
 
 
 class Limited(Protocol):
-    """What has a limit over the whole fleet: an account."""
+    """An object with a limit over the whole fleet, such as an account."""
 
     @property
     def concurrency(self) -> int:
-        """Requests at once."""
+        """Maximum concurrent requests."""
 
     @property
     def tokens_per_second(self) -> int:
-        """Prompt and answer tokens a second."""
+        """Maximum prompt and answer tokens per second."""
 
 
 class Limit(msgspec.Struct, frozen=True):
-    """A limit by itself."""
+    """A plain implementation of `Limited`."""
 
     concurrency: int
     tokens_per_second: int
 
 
 class Holder(msgspec.Struct, frozen=True):
-    """A daemon that holds units; its incarnation is the key under which it is listed."""
+    """A daemon that holds units, listed by its incarnation."""
 
     name: str
     failure_domain: str
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """What a generation gives: its holders (by incarnation) and the limits."""
+    """The allocation of a generation: holders by incarnation, limits by account."""
 
     generation: Generation
     holders: Mapping[str, Holder]
@@ -82,25 +83,25 @@
     count: int
 
     def compute_units(self, account: str, holder: str) -> int:
-        """Return the units of `account` that `holder` may spend."""
+        """Return the units of `account` that `holder` may use."""
         limit = self.limits.get(account)
         if limit is None or holder not in self.holders:
             return 0
-        first = self.rank_holders(account)
-        if holder not in first:
+        ranked = self.rank_holders(account)
+        if holder not in ranked:
             return 0
-        units, rest = divmod(limit.concurrency, len(first))
-        return units + (first.index(holder) < rest)
+        units, rest = divmod(limit.concurrency, len(ranked))
+        return units + (ranked.index(holder) < rest)
 
     def rank_holders(self, account: str) -> list[str]:
-        """Return the incarnations that hold units of `account`, as callers' entries rank them."""
+        """Return the incarnations holding units of `account`, ranked like callers' entries."""
         by_name = {h.name: incarnation for incarnation, h in self.holders.items()}
         domains = {h.name: h.failure_domain for h in self.holders.values()}
         return [by_name[name] for name in rendezvous.rank_spread(account, domains)[: self.count]]
 
 
 NO_GRANT = Grant(Generation(0, 0), {}, {}, 1)
-"""What a daemon starts with."""
+"""The grant of a daemon that has just started."""
 
 
 class _Account(msgspec.Struct):
@@ -117,7 +118,7 @@
 
 
 class ShareBook:
-    """The units that this daemon holds, by account; accounts appear when first asked for."""
+    """The units held by this daemon, by account; accounts are added on first use."""
 
     def __init__(self, holder: str) -> None:
         self.holder = holder
@@ -125,11 +126,11 @@
         self._accounts: dict[str, _Account] = {}
         self._loans: dict[str, _Loan] = {}
         self.departed: set[str] = set()
-        """Holders that have certainly stopped."""
+        """Holders that are certain to have stopped."""
 
-        self._heard_at = float('-inf')
-        self._met: dict[str, float] = {}
-        self._lapsed = False
+        self._store_contact_at = float('-inf')
+        self._heard_from: dict[str, float] = {}
+        self._was_isolated = False
 
     @property
     def settled(self) -> bool:
@@ -138,7 +139,7 @@
 
     @property
     def generation(self) -> Generation:
-        """The newest generation that this daemon knows."""
+        """The newest generation known to this daemon."""
         return self._grants[-1].generation
 
     @property
@@ -148,43 +149,44 @@
 
     @property
     def lasting_holders(self) -> set[str]:
-        """The holders of all generations since the last settled one: they know it, too."""
+        """The holders common to all generations since the settled one, which they all know."""
         return set.intersection(*(set(grant.holders) for grant in self._grants))
 
     def rank_lenders(self, account: str) -> list[str]:
-        """Return the other incarnations that may have units of `account` to lend."""
+        """Return the other incarnations that may lend units of `account`."""
         ranked = [i for grant in reversed(self._grants) for i in grant.rank_holders(account)]
         return [i for i in dict.fromkeys(ranked) if i != self.holder]
 
     def hear(self, at: float) -> None:
-        """Note that the store still listed this daemon at that time: nobody drops it then."""
-        self._heard_at = max(self._heard_at, at)
+        """Record that the store still listed this daemon at that time, so that nobody drops it."""
+        self._store_contact_at = max(self._store_contact_at, at)
 
     def add_peer(self, holder: str, at: float) -> None:
-        """Note when another holder last gave a sign of life, itself or through others."""
-        self._met[holder] = max(self._met.get(holder, at), at)
+        """Record the last contact with another holder, direct or relayed."""
+        self._heard_from[holder] = max(self._heard_from.get(holder, at), at)
 
     def note_contact(self, now: float) -> None:
-        """Note whether this daemon is cut off; call it before its contacts are taken over, too.
+        """Record whether this daemon is isolated; also to be called before applying new contacts.
 
-        If it is, and then learns of an epoch after the next, its units are worth nothing any more
-        until that is settled.
+        If an isolated daemon then learns of an epoch beyond the next one, it loses its units until
+        that epoch is settled.
         """
-        self._lapsed = self.is_cut_off(now)
+        self._was_isolated = self.is_cut_off(now)
 
     def list_involved(self) -> set[str]:
-        """Return the other holders of all generations in force, without those that stopped."""
+        """Return the other holders of all current generations, except those that have stopped."""
         involved = {name for grant in self._grants for name in grant.holders}
         return involved - self.departed - {self.holder}
 
     def may_drop(self, confirmed: Generation, now: float) -> bool:
-        """Return whether a holder that vanished may be left out of the next epoch.
+        """Return whether a lost holder may be dropped from the next epoch.
 
-        It may hear the others that are not heard here, and goes on without the store while these
-        are more than half of its newest generation: the one that it has `confirmed`, or a later
-        one. So that has at least the holders that all generations from there on have in common.
+        The lost holder may be in contact with the holders that this daemon has no contact with, and
+        continues without the store while these are a majority of its newest generation: the one
+        that it has `confirmed` or a later one. That generation contains at least the holders common
+        to all generations from the confirmed one on.
         """
-        # All holders of the first one have confirmed it, unless this daemon has just come.
+        # All holders of the first one have confirmed it, unless this daemon has just joined.
         epochs = [grant.generation.epoch for grant in self._grants]
         first = max((n for n, epoch in enumerate(epochs) if epoch <= confirmed.epoch), default=0)
         common = set.intersection(*(set(grant.holders) for grant in self._grants[first:]))
@@ -192,20 +194,20 @@
         return 2 * len(unheard) <= len(common - self.departed)
 
     def install(self, grant: Grant) -> None:
-        """Take up a newer generation; the least of old and new holds until it is settled."""
+        """Add a newer generation; until it is settled, the minimum of old and new units applies."""
         if grant.generation == self.generation or not grant.generation.covers(self.generation):
             return
-        if self._lapsed and grant.generation.epoch > self.generation.epoch + 1:
-            # An epoch between may have left this daemon out and given its units to others.
+        if self._was_isolated and grant.generation.epoch > self.generation.epoch + 1:
+            # An epoch in between may have dropped this daemon and reassigned its units.
             self._grants = [NO_GRANT]
         self._grants.append(grant)
         for name, account in self._accounts.items():
             account.held = self._compute_held(name)
 
     def settle(self, get_confirmed: Callable[[str], Generation | None]) -> bool:
-        """Drop older generations once every holder of them has confirmed the newest or is gone.
+        """Drop older generations once all holders have confirmed the newest or are gone.
 
-        `get_confirmed` returns a holder's confirmed generation, or none if it is certainly gone.
+        `get_confirmed` returns a holder's confirmed generation, or `None` if it is certainly gone.
         """
         if len(self._grants) < 2:
             return False
@@ -216,15 +218,15 @@
             if confirmed is not None and not confirmed.covers(newest.generation):
                 return False
         self._grants = [newest]
-        self._met = {h: at for h, at in self._met.items() if h in newest.holders}
+        self._heard_from = {h: at for h, at in self._heard_from.items() if h in newest.holders}
         for name, account in self._accounts.items():
             account.held = newest.compute_units(name, self.holder)
         return True
 
     def get_confirmable(self, below: float = float('inf')) -> Generation:
-        """Return the newest generation that the requests in flight already fit.
+        """Return the newest generation whose units cover the requests in flight.
 
-        Those from epoch `below` on are not looked at.
+        Generations from epoch `below` on are ignored.
         """
         confirmable = NO_GRANT.generation
         for grant in self._grants:
@@ -239,9 +241,9 @@
         return confirmable
 
     def acquire(self, name: str, now: float) -> bool:
-        """Take a unit for a request; false if none is free or the token rate is used up.
+        """Take a unit for a request; return false if none is free or the token rate is used up.
 
-        A daemon that is cut off spends nothing, as others may have settled a generation without it.
+        An isolated daemon uses no units, as others may have settled a generation without it.
         """
         account = self._get(name)
         self._refill(name, account, now)
@@ -251,52 +253,52 @@
         return True
 
     def release(self, name: str) -> None:
-        """Give a request's unit back."""
+        """Return the unit of a request."""
         self._get(name).in_flight -= 1
 
     def charge(self, name: str, tokens: int, now: float) -> None:
-        """Subtract the tokens that a request used."""
+        """Charge the tokens that a request used."""
         account = self._get(name)
         self._refill(name, account, now)
         account.tokens -= tokens
 
     def lend(self, loan: str, name: str, borrower: str, now: float) -> bool:
-        """Take a unit on behalf of another daemon."""
+        """Take a unit for another daemon; return whether one was free."""
         if loan in self._loans or not self.acquire(name, now):
             return False
         self._loans[loan] = _Loan(name, borrower, now)
         return True
 
     def repay(self, loan: str, tokens: int, now: float) -> None:
-        """Take a lent unit back, with the tokens that its request used."""
-        known = self._loans.pop(loan, None)
-        if known is not None:
-            self.charge(known.account, tokens, now)
-            self.release(known.account)
+        """End a loan and charge the tokens that its request used."""
+        entry = self._loans.pop(loan, None)
+        if entry is not None:
+            self.charge(entry.account, tokens, now)
+            self.release(entry.account)
 
     def count_loans(self) -> int:
-        """Return how many units are lent."""
+        """Return the number of units on loan."""
         return len(self._loans)
 
     def reconcile(self, borrower: str, active: set[str], now: float) -> None:
-        """Take back what a borrower no longer uses and whose repayment was lost."""
-        for loan, known in list(self._loans.items()):
-            young = now - known.lent_at < LOAN_GRACE
-            if known.borrower == borrower and loan not in active and not young:
+        """End loans that a borrower no longer uses, because a repayment was lost."""
+        for loan, entry in list(self._loans.items()):
+            recent = now - entry.lent_at < LOAN_GRACE
+            if entry.borrower == borrower and loan not in active and not recent:
                 self.repay(loan, 0, now)
 
     def drop_borrower(self, borrower: str, now: float) -> None:
-        """Take back everything lent to a daemon that is certainly gone."""
-        for loan, known in list(self._loans.items()):
-            if known.borrower == borrower:
+        """End all loans to a daemon that is certainly gone."""
+        for loan, entry in list(self._loans.items()):
+            if entry.borrower == borrower:
                 self.repay(loan, 0, now)
 
     def get_held(self, name: str) -> int:
-        """Return the units held of an account."""
+        """Return the units that this daemon holds of an account."""
         return self._get(name).held
 
     def compute_retry_after(self, name: str) -> float:
-        """Return the seconds after which an account's tokens are positive again, at least 0.1."""
+        """Return the seconds until an account's token balance is positive, at least 0.1."""
         account = self._get(name)
         rate = self._compute_rate(name, account)
         return max(0.1, -account.tokens / rate) if rate > 0 else 1.0
@@ -312,26 +314,26 @@
 
     def is_cut_off(self, now: float) -> bool:
         """Return whether others may have settled a generation without this daemon."""
-        if now - self._heard_at <= FENCE_SECONDS:
+        if now - self._store_contact_at <= FENCE_SECONDS:
             return False
         return not all(self._has_majority(grant, now) for grant in self._grants)
 
     def describe_contact(self, now: float) -> dict[str, float | int]:
-        """Return what `is_cut_off` goes by, for the log; ages in seconds."""
+        """Return the basis of `is_cut_off` for the log; ages in seconds."""
         others = self.list_involved()
         return {
-            'store_age': round(now - self._heard_at, 3),
+            'store_age': round(now - self._store_contact_at, 3),
             'holders': 1 + len(others),
             'heard': 1 + sum(not self._is_unheard(h, now) for h in others),
         }
 
     def _has_majority(self, grant: Grant, now: float) -> bool:
         holders = set(grant.holders) - self.departed - {self.holder}
-        heard = 1 + sum(not self._is_unheard(h, now) for h in holders)
-        return 2 * heard > 1 + len(holders)
+        reached = 1 + sum(not self._is_unheard(h, now) for h in holders)
+        return 2 * reached > 1 + len(holders)
 
     def _is_unheard(self, holder: str, now: float) -> bool:
-        return now - self._met.get(holder, float('-inf')) > FENCE_SECONDS
+        return now - self._heard_from.get(holder, float('-inf')) > FENCE_SECONDS
 
     def _compute_rate(self, name: str, account: _Account) -> float:
         limits = [g.limits[name] for g in self._grants if name in g.limits]
--- a/passpier/tests/core/isolation_tests.py
+++ b/passpier/tests/core/isolation_tests.py
@@ -1,4 +1,4 @@
-"""No prefix match crosses account, weight version, adapter or engine incarnation."""
+"""Prefix matches never cross accounts, weight versions, adapters or engine incarnations."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class IsolationMachine(stateful.RuleBasedStateMachine):
-    """A replica that restarts and evicts; the oracle remembers what was ever shown to be held."""
+    """A replica that restarts and evicts; the oracle records all evidence of cached blocks."""
 
     def __init__(self) -> None:
         super().__init__()
         self.cache = self.make_view()
         self.boot = 0
-        self.shown: set[tuple[object, ...]] = set()
+        self.evidence: set[tuple[object, ...]] = set()
         self.translator = evictions.Translator('m', 'v1', BLOCK)
         self.cache.set_incarnation('r', 'boot-0')
 
@@ -41,28 +41,28 @@
     def chain(self, scope: blocks.Scope, tokens: list[int]) -> list[int]:
         return compute_chain(scope, tokens)
 
-    def show(self, scope: blocks.Scope, tokens: list[int]) -> None:
+    def add_evidence(self, scope: blocks.Scope, tokens: list[int]) -> None:
         for end in range(BLOCK, len(tokens) + 1, BLOCK):
-            self.shown.add((self.boot, scope, tuple(tokens[:end])))
+            self.evidence.add((self.boot, scope, tuple(tokens[:end])))
 
     @stateful.rule(scope=st.sampled_from(SCOPES), tokens=PROMPTS, late=st.integers(0, 1))
     def answer(self, scope: blocks.Scope, tokens: list[int], late: int) -> None:
-        """An answer of this incarnation, or a late one of the incarnation before."""
+        """A response from this incarnation, or a late one from the previous incarnation."""
         chain = self.chain(scope, tokens)
         self.cache.correct('r', f'boot-{self.boot - late}', chain, 0, len(chain), 1.0)
         if not late:
-            self.show(scope, tokens)
+            self.add_evidence(scope, tokens)
 
     @stateful.rule(account=st.sampled_from('ab'), tokens=PROMPTS, late=st.integers(0, 1))
     def event(self, account: str, tokens: list[int], late: int) -> None:
-        """A stored event; without an account it proves nothing."""
+        """An event for stored blocks."""
         whole = tokens[: len(tokens) // BLOCK * BLOCK]
         hashes = [hash((account, tuple(whole[: i + BLOCK]))) for i in range(0, len(whole), BLOCK)]
         stored = evictions.Stored(hashes, None, whole, BLOCK, account, '')
         chain = self.translator.store(stored)
         self.cache.add('r', f'boot-{self.boot - late}', chain, view.Evidence.EVENT, 1.0)
         if not late:
-            self.show(blocks.Scope(account, 'm', 'v1', ''), tokens)
+            self.add_evidence(blocks.Scope(account, 'm', 'v1', ''), tokens)
 
     @stateful.rule()
     def gap(self) -> None:
@@ -77,54 +77,54 @@
     @stateful.rule()
     def clear(self) -> None:
         self.cache.clear('r', f'boot-{self.boot}')
-        self.shown = {s for s in self.shown if s[0] != self.boot}
+        self.evidence = {s for s in self.evidence if s[0] != self.boot}
 
     @stateful.rule(scope=st.sampled_from(SCOPES), tokens=PROMPTS)
     def match(self, scope: blocks.Scope, tokens: list[int]) -> None:
         matched = self.cache.match('r', self.chain(scope, tokens), 1.0).blocks
         if matched:
-            assert (self.boot, scope, tuple(tokens[: matched * BLOCK])) in self.shown
+            assert (self.boot, scope, tuple(tokens[: matched * BLOCK])) in self.evidence
 
 
 IsolationTest = IsolationMachine.TestCase
 
 
-class ForgetfulRoot(IsolationMachine):
-    """Broken variant: the root leaves the account out."""
+class SharedRootMachine(IsolationMachine):
+    """Broken variant: the root doesn't contain the account."""
 
     def chain(self, scope: blocks.Scope, tokens: list[int]) -> list[int]:
         return compute_chain(blocks.Scope('', scope.model, scope.weight_version), tokens)
 
 
-class KeepingView(view.CacheView):
-    """Broken variant: a new incarnation keeps the old entries."""
+class StaleView(view.CacheView):
+    """Broken variant: a new incarnation keeps the entries of the previous one."""
 
     def set_incarnation(self, replica: str, incarnation: str, capacity: int = 0) -> bool:
-        known = self._holdings.get(replica)
+        known = self._replicas.get(replica)
         changed = super().set_incarnation(replica, incarnation, capacity)
         if known is not None and changed:
-            self._holdings[replica].blocks = known.blocks
+            self._replicas[replica].blocks = known.blocks
         return changed
 
 
-class KeepingMachine(IsolationMachine):
+class StaleMachine(IsolationMachine):
     def make_view(self) -> view.CacheView:
-        return KeepingView()
+        return StaleView()
 
 
-@pytest.mark.parametrize('machine', [ForgetfulRoot, KeepingMachine])
+@pytest.mark.parametrize('machine', [SharedRootMachine, StaleMachine])
 def test_broken_variants_are_caught(machine: type[IsolationMachine]) -> None:
     broken.check_caught(machine)
 
 
-def test_event_without_account_or_parent_proves_nothing() -> None:
+def test_events_without_account_or_known_parent_are_ignored() -> None:
     translator = evictions.Translator('m', 'v1', BLOCK)
     assert not translator.store(evictions.Stored([1], None, [1, 2], BLOCK, '', ''))
     assert not translator.store(evictions.Stored([2], 99, [1, 2], BLOCK, 'a', ''))
 
 
 @hypothesis.given(st.lists(st.integers(0, 2**32 - 1), max_size=40), st.integers(1, 5))
-def test_chain_of_a_prefix_is_a_prefix_of_the_chain(tokens: list[int], size: int) -> None:
+def test_the_chain_of_a_prefix_is_a_prefix_of_the_chain(tokens: list[int], size: int) -> None:
     root = blocks.compute_root(SCOPES[0])
     data = blocks.encode_tokens(tokens)
     whole = blocks.compute_chain(root, data, size)
@@ -132,8 +132,8 @@
     assert whole[: len(half)] == half
 
 
-def test_a_miss_that_was_foreseen_costs_no_trust() -> None:
-    """First version: the request's own blocks counted as believed, so trust fell to its floor."""
+def test_an_expected_miss_does_not_reduce_trust() -> None:
+    """Guards against counting the request's own blocks as expected hits, which wore out trust."""
     cache = view.CacheView()
     cache.set_incarnation('r', 'i')
     for number in range(50):
@@ -145,7 +145,7 @@
     assert cache.match('r', [1, 2], 0.0).confidence < 1.0
 
 
-def test_a_late_removal_does_not_undo_later_evidence() -> None:
+def test_a_late_removal_does_not_override_newer_evidence() -> None:
     cache = view.CacheView()
     cache.set_incarnation('r', 'i')
     cache.add('r', 'i', [1, 2], view.Evidence.ANSWER, 5.0)
@@ -155,7 +155,7 @@
     assert cache.match('r', [1, 2], 5.0).blocks == 1
 
 
-def test_confidence_falls_with_gaps_and_age() -> None:
+def test_confidence_decreases_with_gaps_and_age() -> None:
     cache = view.CacheView()
     cache.set_incarnation('r', 'i')
     cache.add('r', 'i', [1, 2], view.Evidence.EVENT, 0.0)
--- a/passpier/tests/core/shares_tests.py
+++ b/passpier/tests/core/shares_tests.py
@@ -16,35 +16,35 @@
 
 
 def make_grant(epoch: int, holders: list[str], limit: int = LIMIT, revision: int = 1):
-    seats = {name: shares.Holder(name, name[-1]) for name in holders}
+    listed = {name: shares.Holder(name, name[-1]) for name in holders}
     limits = {'acme': shares.Limit(limit, 1_000_000)}
-    return shares.Grant(shares.Generation(epoch, revision), seats, limits, 2)
+    return shares.Grant(shares.Generation(epoch, revision), listed, limits, 2)
 
 
-class HastyBook(shares.ShareBook):
-    """Broken variant: a new generation is spent before it is settled."""
+class EarlyBook(shares.ShareBook):
+    """Broken variant: uses the units of a new generation before it is settled."""
 
     def install(self, grant: shares.Grant) -> None:
         super().install(grant)
         self.settle(lambda name: None)
 
 
-class TrustingBook(shares.ShareBook):
-    """Broken variant: confirms a generation though its requests in flight do not fit."""
+class UncheckedBook(shares.ShareBook):
+    """Broken variant: confirms a generation whose units don't cover its requests in flight."""
 
     def get_confirmable(self, below: float = 0.0) -> shares.Generation:
         return self.generation
 
 
 class ShareMachine(stateful.RuleBasedStateMachine):
-    """Daemons that learn of epochs and of each other's confirmations late and in any order."""
+    """Daemons that receive epochs and each other's confirmations late and in any order."""
 
     book_type: type[shares.ShareBook] = shares.ShareBook
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.gone: set[str] = set()
+        self.stopped: set[str] = set()
         self.books = {name: self.book_type(name) for name in DAEMONS}
         self.grants = [make_grant(1, DAEMONS[:2])]
         self.heard = {(a, b): shares.Generation(0, 0) for a in DAEMONS for b in DAEMONS}
@@ -56,20 +56,20 @@
         for name in DAEMONS:
             self.sync(name, set(DAEMONS))
 
-    @stateful.precondition(lambda self: set(DAEMONS) - self.gone - set(self.grants[-1].holders))
+    @stateful.precondition(lambda self: set(DAEMONS) - self.stopped - set(self.grants[-1].holders))
     @stateful.rule()
     def join(self) -> None:
-        """A new epoch with one more holder."""
-        newcomers = sorted(set(DAEMONS) - self.gone - set(self.grants[-1].holders))
+        """Write an epoch with an additional holder."""
+        newcomers = sorted(set(DAEMONS) - self.stopped - set(self.grants[-1].holders))
         self.write_epoch([*self.grants[-1].holders, newcomers[0]])
 
     @stateful.rule(name=st.sampled_from(DAEMONS))
     def leave(self, name: str) -> None:
-        """A new epoch without a holder that has certainly stopped, requests and all."""
+        """Write an epoch without a holder that has stopped and has no more requests."""
         stays = set(self.grants[-1].holders) - {name}
         lent = any(lender == name for _, lender, _ in self.loans)
         if stays and not self.used[name] and not lent:
-            self.gone.add(name)
+            self.stopped.add(name)
             self.write_epoch(sorted(stays))
 
     def write_epoch(self, holders: list[str]) -> None:
@@ -77,7 +77,7 @@
 
     @stateful.rule(name=st.sampled_from(DAEMONS), back=st.integers(0, 1))
     def learn(self, name: str, back: int) -> None:
-        if name not in self.gone:
+        if name not in self.stopped:
             self.books[name].install(self.grants[max(0, len(self.grants) - 1 - back)])
             self.books[name].hear(self.now)
 
@@ -91,8 +91,8 @@
         sources=st.just(set(DAEMONS)) | st.sets(st.sampled_from(DAEMONS)),
     )
     def sync(self, name: str, sources: set[str]) -> None:
-        """Hear what some daemons have confirmed, and settle what can be."""
-        if name in self.gone:
+        """Receive the confirmations of some daemons and settle if possible."""
+        if name in self.stopped:
             return
         book = self.books[name]
         for source in sources:
@@ -107,7 +107,7 @@
 
     @stateful.rule(name=st.sampled_from(DAEMONS), wanted=st.integers(1, LIMIT))
     def acquire(self, name: str, wanted: int) -> None:
-        if name in self.gone:
+        if name in self.stopped:
             return
         for _ in range(wanted):
             if self.books[name].acquire('acme', self.now):
@@ -123,7 +123,7 @@
     def lend(self, lender: str, borrower: str) -> None:
         self.serial += 1
         loan = f'loan-{self.serial}'
-        alive = lender not in self.gone
+        alive = lender not in self.stopped
         if (
             alive
             and lender != borrower
@@ -142,16 +142,16 @@
         self.books[lender].reconcile(borrower, active, self.now + 2 * shares.LOAN_GRACE)
 
     @stateful.invariant()
-    def never_above_the_limit(self) -> None:
+    def never_exceeds_the_limit(self) -> None:
         assert sum(self.used.values()) + len(self.loans) <= LIMIT
 
 
-class HastyMachine(ShareMachine):
-    book_type = HastyBook
+class EarlyMachine(ShareMachine):
+    book_type = EarlyBook
 
 
-class TrustingMachine(ShareMachine):
-    book_type = TrustingBook
+class UncheckedMachine(ShareMachine):
+    book_type = UncheckedBook
 
 
 ShareTest = ShareMachine.TestCase
@@ -159,10 +159,10 @@
 
 
 def test_broken_variant_is_caught() -> None:
-    broken.check_caught(HastyMachine)
+    broken.check_caught(EarlyMachine)
 
 
-def join_while_busy(machine: ShareMachine) -> None:
+def join_under_load(machine: ShareMachine) -> None:
     """A third holder joins while the first two use the whole limit."""
     machine.acquire('d1', LIMIT)
     machine.acquire('d2', LIMIT)
@@ -170,13 +170,13 @@
     machine.learn_all()
     machine.sync('d3', set(DAEMONS))
     machine.acquire('d3', LIMIT)
-    machine.never_above_the_limit()
+    machine.never_exceeds_the_limit()
 
 
-def test_a_holder_does_not_confirm_before_its_requests_fit() -> None:
-    join_while_busy(ShareMachine())
+def test_a_holder_confirms_only_once_its_requests_fit() -> None:
+    join_under_load(ShareMachine())
     with pytest.raises(AssertionError):
-        join_while_busy(TrustingMachine())
+        join_under_load(UncheckedMachine())
 
 
 def settle_all(books: list[shares.ShareBook]) -> None:
@@ -194,7 +194,7 @@
     assert taken == LIMIT
 
 
-def test_a_daemon_cut_off_from_all_spends_nothing() -> None:
+def test_an_isolated_daemon_uses_no_units() -> None:
     books = [shares.ShareBook(name) for name in DAEMONS[:2]]
     for book in books:
         book.install(make_grant(1, DAEMONS[:2]))
@@ -205,17 +205,17 @@
     assert shares.FENCE_SECONDS < shares.GONE_SECONDS
 
 
-def test_daemons_that_are_cut_off_together_spend_nothing() -> None:
-    """Two halves of a fleet hear only their own; one of them reaches the store and goes on alone.
+def test_daemons_that_are_isolated_together_use_no_units() -> None:
+    """Guards against both halves of a partitioned fleet using units.
 
-    The other half is dropped from the epoch as certainly gone. Its daemons hear each other; as long
-    as that was enough to go on, more than the limit was in flight.
+    One half reaches the store and drops the other from the epoch as certainly gone. When contact
+    among the daemons of the other half was enough for it to continue, the limit was exceeded.
     """
     left, right = DAEMONS[:2], DAEMONS[2:4]
     books = make_settled(DAEMONS)
     now = shares.GONE_SECONDS + 1.0
     for half in (left, right):
-        meet_all(books, half, now - 1.0)
+        connect_all(books, half, now - 1.0)
     for name in right:
         books[name].hear(now - 1.0)
         assert books[name].may_drop(FIRST, now)
@@ -236,14 +236,14 @@
     return books
 
 
-def meet_all(books: dict[str, shares.ShareBook], names: list[str], at: float) -> None:
+def connect_all(books: dict[str, shares.ShareBook], names: list[str], at: float) -> None:
     for name in names:
         for other in names:
             books[name].add_peer(other, at)
 
 
-def test_of_two_sides_of_a_cut_at_most_one_goes_on_or_takes_over() -> None:
-    """Whichever side still reaches the store; a side without it is right only as the majority."""
+def test_at_most_one_side_of_a_partition_continues_or_takes_over() -> None:
+    """A side without the store continues only as the majority; the other may not drop it then."""
     now = shares.GONE_SECONDS + 1.0
     for count in range(1, 8):
         names = [f'd{n}' for n in range(count)]
@@ -251,19 +251,19 @@
             cut, rest = names[: size + 1], names[size + 1 :]
             books = make_settled(names)
             for side in (cut, rest):
-                meet_all(books, side, now)
-            goes_on = not books[cut[0]].is_cut_off(now)
-            assert goes_on == (2 * len(cut) > count)
+                connect_all(books, side, now)
+            continues = not books[cut[0]].is_cut_off(now)
+            assert continues == (2 * len(cut) > count)
             if rest:
-                assert books[rest[0]].may_drop(FIRST, now) != goes_on
+                assert books[rest[0]].may_drop(FIRST, now) != continues
 
 
-def test_most_holders_go_on_while_the_store_is_down_for_long() -> None:
+def test_a_majority_continues_during_a_long_store_outage() -> None:
     books = make_settled(DAEMONS)
     alive = DAEMONS[:3]
     for hour in range(1, 24):
         now = hour * 3600.0
-        meet_all(books, alive, now - 1.0)
+        connect_all(books, alive, now - 1.0)
         assert all(
             books[name].acquire('acme', now) for name in alive if books[name].get_held('acme')
         )
@@ -272,7 +272,7 @@
                 books[name].release('acme')
 
 
-def test_holders_that_said_that_they_stop_are_not_missed() -> None:
+def test_holders_that_announced_their_stop_are_not_counted() -> None:
     books = make_settled(DAEMONS)
     now = shares.GONE_SECONDS + 1.0
     last = books['d1']
@@ -282,8 +282,8 @@
     assert last.may_drop(FIRST, now)
 
 
-def test_generations_before_what_a_holder_has_confirmed_do_not_count() -> None:
-    """Of the last generation half is heard, of the one before only the minority that stayed."""
+def test_generations_before_the_confirmed_one_do_not_count() -> None:
+    """Half of the newest generation is in contact, but only a minority of the one before."""
     books = make_settled(DAEMONS)
     now = shares.GONE_SECONDS + 1.0
     book = books['d1']
@@ -297,7 +297,7 @@
     assert book.may_drop(shares.Generation(2, 1), now)
 
 
-def test_a_daemon_that_knows_no_settled_generation_drops_nobody_of_before() -> None:
+def test_a_daemon_without_a_settled_generation_drops_no_earlier_holder() -> None:
     newcomer = shares.ShareBook('d9')
     newcomer.install(make_grant(1, ['d1', 'd9']))
     unknown = shares.NO_GRANT.generation
@@ -307,7 +307,7 @@
     assert newcomer.may_drop(unknown, shares.GONE_SECONDS)
 
 
-def test_a_raised_limit_counts_once_all_have_it_and_a_lowered_one_at_once() -> None:
+def test_a_raised_limit_applies_once_settled_and_a_lowered_one_at_once() -> None:
     books = [shares.ShareBook(name) for name in DAEMONS[:2]]
     for book in books:
         book.install(make_grant(1, DAEMONS[:2], 4))
@@ -324,7 +324,7 @@
     assert books[0].get_held('acme') == 1
 
 
-def test_tokens_are_limited_by_the_share() -> None:
+def test_the_token_rate_is_limited_by_the_share() -> None:
     book = shares.ShareBook('d1')
     grant = shares.Grant(
         shares.Generation(1, 1),
@@ -342,7 +342,7 @@
     assert book.acquire('acme', 4.0)
 
 
-def test_a_unit_lent_to_a_killed_daemon_is_out_until_it_is_certainly_gone() -> None:
+def test_a_unit_lent_to_a_killed_daemon_is_kept_until_that_is_certainly_gone() -> None:
     lender = shares.ShareBook('d1')
     lender.hear(0.0)
     lender.install(make_grant(1, ['d1', 'd2']))
@@ -351,7 +351,7 @@
     assert lender.lend('loan', 'acme', 'd9', 0.0)
     taken = sum(lender.acquire('acme', 0.0) for _ in range(LIMIT))
     assert taken == units - 1
-    # Nothing is heard of the borrower any more; its request may still be running.
+    # There is no contact with the borrower, but its request may still be running.
     assert not lender.acquire('acme', 10.0)
     lender.hear(20.0)
     lender.drop_borrower('d9', 20.0)
