--- a/passpier/core/attempts.py
+++ b/passpier/core/attempts.py
@@ -1,4 +1,4 @@
-"""The life of one request: what to do after each fault, and what to say of its outcome."""
+"""Progress of a request over its attempts: the next step after a fault, and its outcome."""
 
 from __future__ import annotations
 
@@ -13,50 +13,50 @@
 
 
 class Fault(enum.Enum):
-    """How an attempt can fail, by what it says of a run at the upstream."""
+    """How an attempt can fail, by what that implies for a run at the upstream."""
 
     NOT_CONNECTED = 'not_connected'
     """Nothing reached the upstream."""
 
     REFUSED = 'refused'
-    """The upstream said that it did not run the request."""
+    """The upstream reported that it didn't run the request."""
 
     FAILED = 'failed'
-    """The upstream answered with an error that leaves open whether it ran."""
+    """The upstream responded with an error that doesn't tell whether the request ran."""
 
     NO_ANSWER = 'no_answer'
-    """The request was sent and no answer came."""
+    """The request was sent, but there was no response."""
 
     CUT = 'cut'
     """The stream ended early, skipped a chunk or stalled."""
 
     WRONG_VERSION = 'wrong_version'
-    """The answer came from other weights than asked for; none of it was delivered."""
+    """The response came from other weights than requested; none of it was delivered."""
 
 
 class Step(enum.Enum):
     """What to do next."""
 
     RETRY = 'retry'
-    """Send again, to another replica where there is one."""
+    """Send the request again, to another replica if there is one."""
 
     RESUME = 'resume'
-    """Take up the same stream at the same engine from the next piece."""
+    """Resume the same stream at the same engine from the next chunk."""
 
     CONTINUE = 'continue'
-    """Go on at another replica with what was already delivered."""
+    """Continue at another replica after the part that was already delivered."""
 
     FAIL = 'fail'
 
 
 NOT_RUN_FAULTS = frozenset({Fault.NOT_CONNECTED, Fault.REFUSED})
-"""Faults after which a request has certainly not run."""
+"""Faults after which the request has certainly not run."""
 
 _RESUMABLE_FAULTS = frozenset({Fault.CUT, Fault.NO_ANSWER})
 
 
 class Life(msgspec.Struct):
-    """What has happened to one request so far."""
+    """The attempts at one request so far."""
 
     repeatable: bool
     resumable: bool = True
@@ -70,7 +70,7 @@
 
     @property
     def outcome(self) -> exceptions.Outcome:
-        """What can be said for certain."""
+        """What is certain about the execution of the request."""
         if self.completed:
             return exceptions.Outcome.RAN
         if self.may_have_run:
@@ -78,7 +78,7 @@
         return exceptions.Outcome.NOT_RUN
 
     def begin(self) -> None:
-        """Note that an attempt is about to be sent: from here on it may run."""
+        """Record that an attempt is about to be sent, after which the request may run."""
         self.attempts += 1
 
     def decide(self, fault: Fault, has_budget: bool) -> Step:
@@ -87,7 +87,7 @@
         if fault not in NOT_RUN_FAULTS:
             self.may_have_run = True
         if fault in _RESUMABLE_FAULTS and self.resumable and self.resumes < MAX_RESUMES:
-            # The same stream at the same engine is no second run, even of an unrepeatable request.
+            # Resuming a stream at its engine is not a second run, so any request may do it.
             self.resumes += 1
             return Step.RESUME
         if self.attempts >= self.max_attempts or not has_budget:
--- a/passpier/core/claims.py
+++ b/passpier/core/claims.py
@@ -1,7 +1,7 @@
-"""Requests that may run at most once: homed keys, opaque keys, and the table of both.
+"""Idempotency keys of requests that may run at most once: homed keys, opaque keys and their table.
 
-A homed key reads `<incarnation>.<uuid7>`; only that daemon incarnation may ever run it. Any
-other key is opaque and is claimed in the store before it may run.
+A homed key has the form `<incarnation>.<uuid7>`; only that daemon incarnation may ever run it. Any
+other key is opaque and has to be claimed in the store before it may run.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 import msgspec
 
 MAX_ENTRIES = 100_000
-"""Keys that a table remembers; beyond it new keys are refused."""
+"""Maximum number of keys in a table; further keys are refused."""
 
-MAX_STORED = 64 * 1024 * 1024
-"""Bytes of answers that a table keeps; the oldest go first."""
+MAX_ANSWER_BYTES = 64 * 1024 * 1024
+"""Maximum bytes of answers in a table; the oldest are dropped first."""
 
 T = TypeVar('T')
 
 
 class Homed(msgspec.Struct, frozen=True):
-    """A key that belongs to one daemon incarnation; `made_at` is in seconds of the epoch."""
+    """A key that belongs to one daemon incarnation; `made_at` is in seconds since the epoch."""
 
     incarnation: str
     made_at: float
 
 
 class Opaque(msgspec.Struct, frozen=True):
-    """A key that says nothing of its home."""
+    """A key without a home."""
 
 
 def parse_key(key: str) -> Homed | Opaque:
-    """Return what an idempotency key says."""
+    """Parse an idempotency key."""
     incarnation, separator, rest = key.partition('.')
     if not separator or not incarnation:
         return Opaque()
@@ -47,7 +47,7 @@
 
 
 class State(enum.Enum):
-    """Where a key stands."""
+    """The state of a key."""
 
     RUNNING = 'running'
     RAN = 'ran'
@@ -55,26 +55,26 @@
 
 
 class Verdict(enum.Enum):
-    """What to do with a request that carries a key."""
+    """What to do with a request that has a key."""
 
     RUN = 'run'
     JOIN = 'join'
-    """The same key is running: wait for its answer."""
+    """The key is running; the request waits for the same answer."""
 
     ANSWER = 'answer'
-    """It has run and its answer is held."""
+    """The key has run and its answer is stored."""
 
     RAN = 'ran'
-    """It has run and its answer is no longer held."""
+    """The key has run, but its answer is no longer stored."""
 
     UNKNOWN = 'unknown'
-    """It may have run."""
+    """The key may have run."""
 
     EXPIRED = 'expired'
-    """It is older than what is remembered, so it may have run."""
+    """The key is older than the retention, so it may have run."""
 
     FULL = 'full'
-    """The table has no room."""
+    """The table is full."""
 
 
 class _Entry(msgspec.Struct, Generic[T]):
@@ -87,8 +87,8 @@
 class KeyTable(Generic[T]):
     """The keys that this incarnation has run or is running.
 
-    An entry is forgotten only when its key is older than a horizon that never moves back, and a
-    key older than the horizon is never run. So no clock has to be right.
+    An entry is dropped only once its key is older than a horizon that never moves back, and a key
+    older than the horizon is never run. So correctness doesn't depend on any clock.
     """
 
     def __init__(self, retention: float, max_entries: int = MAX_ENTRIES) -> None:
@@ -96,17 +96,17 @@
         self._max_entries = max_entries
         self._entries: dict[str, _Entry[T]] = {}
         self._horizon = float('-inf')
-        self._stored = 0
+        self._answer_bytes = 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def begin(self, key: str, made_at: float, now: float) -> Verdict:
-        """Decide on a request; `RUN` marks the key as running. Times are of the epoch."""
+        """Decide on a request; `RUN` marks the key as running. Times are seconds since the epoch."""
         self._expire(now)
         entry = self._entries.get(key)
         if entry is not None:
-            return self._judge(entry)
+            return self._check_entry(entry)
         if made_at <= self._horizon or made_at > now + self._retention:
             return Verdict.EXPIRED
         if len(self._entries) >= self._max_entries:
@@ -115,31 +115,31 @@
         return Verdict.RUN
 
     def covers(self, made_at: float) -> bool:
-        """Return whether a key of that time would still be remembered if it had run."""
+        """Return whether a key of that time would still be in the table if it had run."""
         return made_at > self._horizon
 
     def finish(self, key: str, answer: T, size: int) -> None:
-        """Note that a key ran, with its answer."""
+        """Record that a key has run, and store its answer."""
         entry = self._entries[key]
         entry.state = State.RAN
         entry.answer = answer
         entry.size = size
-        self._stored += size
+        self._answer_bytes += size
         self._drop_answers()
 
     def fail(self, key: str, may_have_run: bool) -> None:
-        """Note the end of a key without an answer; one that certainly did not run is free again."""
+        """Record a failure; a key that has certainly not run is removed and may be used again."""
         if may_have_run:
             self._entries[key].state = State.UNKNOWN
         else:
             del self._entries[key]
 
     def get_answer(self, key: str) -> T | None:
-        """Return a held answer."""
+        """Return a stored answer, if any."""
         entry = self._entries.get(key)
         return entry.answer if entry else None
 
-    def _judge(self, entry: _Entry[T]) -> Verdict:
+    def _check_entry(self, entry: _Entry[T]) -> Verdict:
         if entry.state is State.RUNNING:
             return Verdict.JOIN
         if entry.state is State.UNKNOWN:
@@ -155,16 +155,16 @@
             key, entry = next(iter(self._entries.items()))
             if entry.made_at > horizon or entry.state is State.RUNNING:
                 return
-            self._stored -= entry.size
+            self._answer_bytes -= entry.size
             del self._entries[key]
 
     def _drop_answers(self) -> None:
-        if self._stored <= MAX_STORED:
+        if self._answer_bytes <= MAX_ANSWER_BYTES:
             return
         for entry in self._entries.values():
             if entry.answer is not None:
-                self._stored -= entry.size
+                self._answer_bytes -= entry.size
                 entry.answer = None
                 entry.size = 0
-            if self._stored <= MAX_STORED:
+            if self._answer_bytes <= MAX_ANSWER_BYTES:
                 return
--- a/passpier/core/freshness.py
+++ b/passpier/core/freshness.py
@@ -1,8 +1,8 @@
-"""Until when what a daemon knows is certainly the newest.
+"""Freshness of a daemon's knowledge of the registry.
 
-Times are of the monotonic clock, in seconds. A read proves what was in force when it was sent, not
-when its answer came. A watch that stayed empty proves the end of its wait, counted from when it was
-sent; while it waits it proves nothing.
+Times are monotonic, in seconds. A read proves the state at the time when it was sent, not when its
+response arrived. A watch that returned no changes proves the state at the end of its wait, counted
+from when it was sent; an open watch proves nothing.
 """
 
 from __future__ import annotations
@@ -10,48 +10,48 @@
 import msgspec
 
 WAIT_MAX = 1.0
-"""Seconds that a watch waits at most; each watch is a priced call, each second ages the proof, and
-whoever is told of it adds a third of a second."""
+"""Maximum wait of a watch in seconds. Each watch is a billed call, but each second makes the proof
+older, and passing it on to other daemons adds a third of a second."""
 
 WAIT_MIN = 0.1
-"""Seconds that a watch waits at least, so that a busy store is not asked in a tight loop."""
+"""Minimum wait of a watch in seconds, to avoid a tight loop."""
 
 BOUND_MARGIN = 0.5
-"""Seconds kept off the bound, for the way to the upstream and late timers."""
+"""Safety margin before the bound in seconds, for latency to the upstream and late timers."""
 
 WAIT_SPREAD = 0.5
-"""Part of the longest wait that is drawn: a change wakes all daemons at once, and with equal waits
-their proofs would go on ageing together, instead of one of them always having a young one."""
+"""Share of the maximum wait that is jitter. A change wakes all daemons at once; with equal waits
+their proofs would stay the same age, instead of one of them always having a recent one."""
 
 RENEWAL_SHARE = 0.75
-"""Part of the bound at which a new proof should be at hand."""
+"""Share of the bound at which a new proof should be available."""
 
 
 class Freshness(msgspec.Struct):
-    """The age of what is known, against the bound behind which keys may have been revoked."""
+    """The age of the newest proof, compared to the bound within which a revocation must be known."""
 
     bound: float
     proved_at: float = float('-inf')
 
     def prove(self, at: float) -> None:
-        """Note that all that was in force at `at` is known."""
+        """Record that the state at `at` is known completely."""
         self.proved_at = max(self.proved_at, at)
 
     def prove_by_watch(self, sent_at: float, wait: float, answered_at: float, empty: bool) -> None:
-        """Note an answered watch."""
-        waited = empty and answered_at - sent_at >= wait
-        self.prove(sent_at + wait if waited else sent_at)
+        """Record a finished watch."""
+        completed = empty and answered_at - sent_at >= wait
+        self.prove(sent_at + wait if completed else sent_at)
 
     def compute_age(self, now: float) -> float:
         """Return the seconds since the newest proof."""
         return now - self.proved_at
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether a key that was revoked longer ago than the bound would be known."""
+        """Return whether any revocation older than the bound would be known."""
         return self.compute_age(now) <= self.bound - BOUND_MARGIN
 
-    def choose_wait(self, now: float, draw: float) -> float:
-        """Return the seconds for which the next watch may wait; `draw` is from 0 to 1."""
-        left = self.proved_at + self.bound * RENEWAL_SHARE - now
-        longest = WAIT_MAX * (1 - WAIT_SPREAD * draw)
-        return min(longest, max(WAIT_MIN, left))
+    def choose_wait(self, now: float, jitter: float) -> float:
+        """Return the seconds for which the next watch may wait; `jitter` is from 0 to 1."""
+        remaining = self.proved_at + self.bound * RENEWAL_SHARE - now
+        longest = WAIT_MAX * (1 - WAIT_SPREAD * jitter)
+        return min(longest, max(WAIT_MIN, remaining))
--- a/passpier/core/lives.py
+++ b/passpier/core/lives.py
@@ -1,16 +1,16 @@
-"""Which process of a replica something is known about.
+"""Identifies the processes of a replica.
 
-A replica keeps its id over its starts, and what its process held and counted does not last: weights
-may be older, the cache is empty, orders are counted anew, and nobody has said that it leaves. So
-whatever is learnt about a replica belongs to one life, and counts for no other.
+A replica keeps its id when it restarts, but the state of its process is lost: weights may be older,
+the cache is empty, order numbers start again, and it isn't draining any more. So all knowledge
+about a replica belongs to one process and doesn't apply to any other.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-MARKS = 2**16
-"""Marks that lives can have: two lives of one replica share one in 1 of 65,536 cases."""
+SHORT_IDS = 2**16
+"""Number of distinct short ids: two processes of a replica share one in 1 of 65,536 cases."""
 
 
 class Life(msgspec.Struct, frozen=True):
@@ -18,13 +18,13 @@
 
     id: str
     born: int = 0
-    """Unix milliseconds of the start by the replica's own clock; 0 if it does not tell."""
+    """Start time in Unix milliseconds by the replica's own clock; 0 if it isn't reported."""
 
     @property
     def mark(self) -> int:
-        """A short number that tells the lives of one replica apart, for messages of many rows."""
-        return self.born % MARKS
+        """A short id that distinguishes the processes of a replica in messages with many rows."""
+        return self.born % SHORT_IDS
 
     def __str__(self) -> str:
-        """Return the life as log lines and cache identities show it."""
+        """Return the form used in log lines and cache identities."""
         return f'{self.id}@{self.born}'
--- a/passpier/core/pauses.py
+++ b/passpier/core/pauses.py
@@ -1,6 +1,6 @@
-"""Why, and until when, a replica gets no requests.
+"""Pauses during which a replica gets no requests.
 
-Each reason has its own end: word that one is over says nothing of the others.
+Each reason has its own end time; the end of one pause doesn't affect the others.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 
 class Pause(enum.Enum):
-    """Why a replica gets no requests for a while."""
+    """The reason for a pause."""
 
     FULL = 'full'
     LOADING = 'loading'
     SILENT = 'silent'
     BACKOFF = 'backoff'
-    """It has refused a request and said for how long to back off."""
+    """The replica refused a request and requested a backoff."""
 
 
 class _Paused(msgspec.Struct, frozen=True):
@@ -26,28 +26,28 @@
 
 
 class Pauses:
-    """The pauses of one replica; times in seconds of the monotonic clock."""
+    """The current pauses of one replica, with monotonic times in seconds."""
 
     def __init__(self) -> None:
         self._paused: dict[Pause, _Paused] = {}
 
     @property
     def until(self) -> float:
-        """When the last of them ends."""
+        """The end of the last pause."""
         return max((p.until for p in self._paused.values()), default=float('-inf'))
 
-    def get_until(self, why: Pause) -> float:
-        """Return when a pause for one reason ends."""
-        paused = self._paused.get(why)
+    def get_until(self, reason: Pause) -> float:
+        """Return when the pause for a reason ends."""
+        paused = self._paused.get(reason)
         return paused.until if paused is not None else float('-inf')
 
-    def begin(self, why: Pause, until: float, version: int = 0) -> None:
-        """Begin or prolong a pause; `version` is the weights that are to be loaded."""
-        before = self._paused.get(why, _Paused(until, version))
-        self._paused[why] = _Paused(max(until, before.until), max(version, before.version))
+    def begin(self, reason: Pause, until: float, version: int = 0) -> None:
+        """Begin or extend a pause; `version` is the weight version being loaded, if any."""
+        before = self._paused.get(reason, _Paused(until, version))
+        self._paused[reason] = _Paused(max(until, before.until), max(version, before.version))
 
-    def end(self, why: Pause, version: int = 0) -> None:
-        """End a pause, but not that of a load of newer weights than `version`."""
-        paused = self._paused.get(why)
+    def end(self, reason: Pause, version: int = 0) -> None:
+        """End a pause unless it is for loading weights newer than `version`."""
+        paused = self._paused.get(reason)
         if paused is not None and paused.version <= version:
-            del self._paused[why]
+            del self._paused[reason]
--- a/passpier/core/readers.py
+++ b/passpier/core/readers.py
@@ -1,8 +1,8 @@
-"""Which daemons follow the registry themselves; the others are told by them.
+"""Chooses the daemons that watch the registry and pass on its changes to the others.
 
-Each call to the registry is priced and counted against a rate that grows more slowly than the
-fleet, and every waiting watch is woken by every change. So a few daemons watch, all daemons work
-out alike which ones these are, and each of the others knows whom to ask.
+Calls to the registry cost money and are subject to a rate limit that grows more slowly than the
+fleet, and every change wakes every open watch. So only a few daemons, the readers, watch the
+registry. All daemons compute the same readers, so the others know which ones to ask.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 from passpier.core import members, rendezvous
 
 LEAST = 3
-"""Daemons that watch at the least: with one lost and one cut off there is still one."""
+"""Minimum number of readers: with one lost and one partitioned, there is still one left."""
 
 MEMBERS_PER_READER = 24
-"""Daemons beyond which one more watches: each asks four times a second, 100 questions in all."""
+"""Daemons per reader: each sends four queries per second, about 100 for one reader."""
 
-_KEY = 'readers of the registry'
+_HASH_KEY = 'readers of the registry'
 
 
 def choose_readers(serving: Sequence[members.Member]) -> list[members.Member]:
-    """Return the daemons that are to watch, the same ones wherever the same ones are serving.
+    """Return the readers; daemons that know the same serving members compute the same ones.
 
-    The largest VMs come first: readers send a new configuration to all others, and give orders; on
-    a small VM that would fill the link.
+    The largest VMs come first, because readers send new configurations to all others and give
+    orders, which would saturate the link of a small VM.
     """
     ranked = sorted(
         serving,
-        key=lambda m: (-m.capacity, -rendezvous.compute_weight(_KEY, m.incarnation)),
+        key=lambda m: (-m.capacity, -rendezvous.compute_weight(_HASH_KEY, m.incarnation)),
     )
     return ranked[: max(LEAST, -(-len(serving) // MEMBERS_PER_READER))]
 
@@ -36,7 +36,7 @@
 def choose_teller(
     own: members.Member, readers: Sequence[members.Member], turn: int
 ) -> members.Member | None:
-    """Return the reader to ask this turn, each in its turn; none if there is no other."""
+    """Return the reader to ask in round `turn`, in rotation; `None` if there is no other."""
     others = {m.incarnation: m for m in readers if m != own}
     ranked = rendezvous.rank_names(own.incarnation, others)
     return others[ranked[turn % len(ranked)]] if ranked else None
--- a/passpier/core/retries.py
+++ b/passpier/core/retries.py
@@ -1,4 +1,4 @@
-"""How often and when to try again: a budget that bounds amplification, and jittered backoff."""
+"""Retry budgets, which bound amplification, and jittered backoff."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 """Retries earned by each successful request."""
 
 BUDGET_MAX = 50.0
-"""Retries that can be saved up."""
+"""Maximum balance of retries."""
 
-BUDGET_TRICKLE = 0.2
-"""Retries earned each second, so that a quiet daemon can retry at all."""
+BUDGET_PER_SECOND = 0.2
+"""Retries earned per second, so that a daemon with little traffic can retry at all."""
 
-BUDGET_CAUTION = 0.8
-"""Part of a shared budget that is used: windows of others slide, and a restart forgets."""
+BUDGET_SAFETY_FACTOR = 0.8
+"""Share of a shared budget that is used, as windows of daemons differ and restarts reset them."""
 
 BACKOFF_BASE = 0.02
 BACKOFF_MAX = 1.0
 
 
 class RetryBudget(msgspec.Struct):
-    """Retries that may still be spent."""
+    """A balance of retries that successful requests increase."""
 
     balance: float = BUDGET_MAX / 2
     updated_at: float = 0.0
 
     def note_success(self) -> None:
-        """Earn a share of a retry."""
+        """Add the retries earned by a successful request."""
         self.balance = min(BUDGET_MAX, self.balance + BUDGET_SHARE)
 
     def spend(self, now: float) -> bool:
         """Take one retry; return false if none is left."""
         if self.updated_at:
-            earned = max(0.0, now - self.updated_at) * BUDGET_TRICKLE
+            earned = max(0.0, now - self.updated_at) * BUDGET_PER_SECOND
             self.balance = min(BUDGET_MAX, self.balance + earned)
         self.updated_at = now
         if self.balance < 1.0:
@@ -48,18 +48,18 @@
 def compute_backoff(
     attempt: int, rng: random.Random, base: float = BACKOFF_BASE, most: float = BACKOFF_MAX
 ) -> float:
-    """Return the seconds to wait before a further attempt, the first retry being 1."""
-    # The exponent is bounded, for an outage may last for thousands of attempts.
+    """Return the seconds to wait before a retry; `attempt` is 1 for the first one."""
+    # The exponent is bounded, as an outage may last for thousands of attempts.
     bound = min(most, base * 2 ** min(attempt - 1, 16))
     return rng.uniform(bound / 2, bound)
 
 
 class SharedBudget:
-    """One daemon's part of a budget of retries that all keep together without talking.
+    """One daemon's share of a retry budget that all daemons keep without coordination.
 
     In each window, all daemons together may send `ratio` times their requests plus `slack` retries.
-    Each spends at most `ratio` times its own requests and its even part of the slack, so that the
-    sum holds whoever else is alive or in reach.
+    Each spends at most `ratio` times its own requests plus an equal share of the slack, so the sum
+    holds regardless of which others are alive or reachable.
     """
 
     def __init__(self, ratio: float, slack: float, window: float) -> None:
@@ -68,28 +68,28 @@
         self._spent: collections.deque[float] = collections.deque()
 
     def configure(self, ratio: float, slack: float, window: float) -> None:
-        """Set the figures; what was counted before stays."""
+        """Set the parameters; requests and retries counted before are kept."""
         self._ratio = ratio
         self._slack = slack
         self._window = window
 
     def note_request(self, now: float) -> None:
-        """Count a client's request."""
+        """Count a request of a client."""
         self._forget(now)
         self._requests.append(now)
 
     def spend(self, now: float, daemons: int) -> bool:
-        """Take one retry, if `daemons` daemons share the slack; return false if none is left."""
+        """Take one retry if any is left; `daemons` is the number that share the slack."""
         if not self.has_any(now, daemons):
             return False
         self._spent.append(now)
         return True
 
     def has_any(self, now: float, daemons: int) -> bool:
-        """Return whether a retry is left, if `daemons` daemons share the slack."""
+        """Return whether a retry is left; `daemons` is the number that share the slack."""
         self._forget(now)
         allowed = self._ratio * len(self._requests) + self._slack / max(1, daemons)
-        return len(self._spent) + 1 <= allowed * BUDGET_CAUTION
+        return len(self._spent) + 1 <= allowed * BUDGET_SAFETY_FACTOR
 
     def _forget(self, now: float) -> None:
         for times in (self._requests, self._spent):
--- a/passpier/core/turns.py
+++ b/passpier/core/turns.py
@@ -1,43 +1,51 @@
-"""When refused clients of an account may come back: one after the other, not all at once.
+"""Schedules the retries of refused clients of an account one after the other.
 
-An account far above its rate has many refused requests at any time. Were each told when there will
-be room for it alone, all would come back at the same moment, and all but one be refused again. Each
-is told the time at which there will be room behind those that were told to come before it.
+An account far above its rate has many refused requests at any time. If each was given the time at
+which there are units for itself alone, all would retry at the same moment and all but one would be
+refused again. So each is given the time at which there are units for it after all retries that were
+scheduled before.
 """
 
 from __future__ import annotations
 
-SHARE_OF_PATIENCE = 0.75
-"""Part of the time that a client still gives its request after which it is told to come back at the
-latest: later it would get no answer in time, and an earlier try may meet room."""
+MAX_WAIT_SHARE = 0.75
+"""Maximum scheduled wait as a share of the client's remaining timeout. A later retry could not be
+answered in time, and an earlier one may find units that are available."""
 
 
 class Turns:
-    """The times that refused clients were told, by account."""
+    """Scheduled retries of refused clients by account."""
 
     def __init__(self) -> None:
-        self._taken_until: dict[str, float] = {}
+        self._reserved_until: dict[str, float] = {}
 
     def take(
-        self, account: str, cost: int, per_second: float, room: float, patience: float, now: float
+        self,
+        account: str,
+        cost: int,
+        per_second: float,
+        available_in: float,
+        client_timeout: float,
+        now: float,
     ) -> float:
-        """Return the seconds after which a refused client should come back.
+        """Return the seconds after which a refused client should retry.
 
-        `room` is after how many seconds there is room for its `cost` units alone, `per_second` what
-        comes in for clients refused here, `patience` the seconds that the client still waits.
+        `available_in` is the seconds until its `cost` units are available if no other client takes
+        them, `per_second` the units earned for clients refused here, and `client_timeout` the
+        seconds for which the client keeps waiting.
         """
-        if room >= patience:
-            return room
-        begins = max(now, self._taken_until.get(account, now))
-        turn = begins - now + cost / per_second if per_second else patience
-        latest = patience * SHARE_OF_PATIENCE
-        if turn > latest:
-            # It comes when it can and takes nobody's turn.
-            return max(room, latest)
-        wait = max(room, turn)
-        self._taken_until[account] = now + wait
+        if available_in >= client_timeout:
+            return available_in
+        slot_start = max(now, self._reserved_until.get(account, now))
+        slot_wait = slot_start - now + cost / per_second if per_second else client_timeout
+        max_wait = client_timeout * MAX_WAIT_SHARE
+        if slot_wait > max_wait:
+            # It retries as late as possible without reserving any units.
+            return max(available_in, max_wait)
+        wait = max(available_in, slot_wait)
+        self._reserved_until[account] = now + wait
         return wait
 
     def forget(self, now: float) -> None:
-        """Drop turns that are over."""
-        self._taken_until = {a: at for a, at in self._taken_until.items() if at > now}
+        """Remove accounts without pending retries."""
+        self._reserved_until = {a: at for a, at in self._reserved_until.items() if at > now}
--- a/passpier/tests/core/attempts_tests.py
+++ b/passpier/tests/core/attempts_tests.py
@@ -1,4 +1,4 @@
-"""What is said of an outcome is true, and an unrepeatable request runs at most once."""
+"""Reported outcomes are true, and a request that isn't repeatable runs at most once."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from passpier.core import attempts, ejection, retries
 
 FAULTS = st.lists(st.tuples(st.sampled_from(list(attempts.Fault)), st.booleans()), max_size=8)
-CERTAIN = {attempts.Fault.NOT_CONNECTED, attempts.Fault.REFUSED}
+NOT_RUN_FAULTS = {attempts.Fault.NOT_CONNECTED, attempts.Fault.REFUSED}
 
 
-class HopefulLife(attempts.Life):
-    """Broken variant: takes an unanswered request for one that did not run."""
+class OptimisticProgress(attempts.Life):
+    """Broken variant: treats an unanswered request as one that didn't run."""
 
     def decide(self, fault: attempts.Fault, has_budget: bool) -> attempts.Step:
         if fault is attempts.Fault.NO_ANSWER:
@@ -27,22 +27,24 @@
 def check_outcome(
     kind: type[attempts.Life], repeatable: bool, faults: list[tuple[attempts.Fault, bool]]
 ) -> None:
-    """Play faults; an uncertain one may or may not have run at the upstream."""
-    life = kind(repeatable, resumable=False)
+    """Apply faults; a request may or may not have run in case of an uncertain one."""
+    progress = kind(repeatable, resumable=False)
     runs = 0
     for fault, ran in faults:
-        life.begin()
-        runs += ran and fault not in CERTAIN
-        if life.decide(fault, True) is attempts.Step.FAIL:
+        progress.begin()
+        runs += ran and fault not in NOT_RUN_FAULTS
+        if progress.decide(fault, True) is attempts.Step.FAIL:
             break
-    if life.outcome is exceptions.Outcome.NOT_RUN:
+    if progress.outcome is exceptions.Outcome.NOT_RUN:
         assert runs == 0
     if not repeatable:
         assert runs <= 1
 
 
 @hypothesis.given(st.booleans(), FAULTS)
-def test_not_run_is_true(repeatable: bool, faults: list[tuple[attempts.Fault, bool]]) -> None:
+def test_a_reported_not_run_is_true(
+    repeatable: bool, faults: list[tuple[attempts.Fault, bool]]
+) -> None:
     check_outcome(attempts.Life, repeatable, faults)
 
 
@@ -50,41 +52,41 @@
     @hypothesis.settings(report_multiple_bugs=False)
     @hypothesis.given(st.booleans(), FAULTS)
     def prove(repeatable: bool, faults: list[tuple[attempts.Fault, bool]]) -> None:
-        check_outcome(HopefulLife, repeatable, faults)
+        check_outcome(OptimisticProgress, repeatable, faults)
 
     with pytest.raises(AssertionError):
         prove()
 
 
-def test_a_cut_stream_is_taken_up_before_anything_else() -> None:
-    life = attempts.Life(repeatable=False)
-    life.begin()
-    life.delivered = 3
-    assert life.decide(attempts.Fault.CUT, True) is attempts.Step.RESUME
-    life.resumes = attempts.MAX_RESUMES
-    assert life.decide(attempts.Fault.CUT, True) is attempts.Step.FAIL
-    assert life.outcome is exceptions.Outcome.UNKNOWN
+def test_an_interrupted_stream_is_resumed_first() -> None:
+    progress = attempts.Life(repeatable=False)
+    progress.begin()
+    progress.delivered = 3
+    assert progress.decide(attempts.Fault.CUT, True) is attempts.Step.RESUME
+    progress.resumes = attempts.MAX_RESUMES
+    assert progress.decide(attempts.Fault.CUT, True) is attempts.Step.FAIL
+    assert progress.outcome is exceptions.Outcome.UNKNOWN
 
 
-def test_delivered_text_is_continued_and_never_repeated() -> None:
-    life = attempts.Life(repeatable=True, resumable=False)
-    life.begin()
-    life.delivered = 3
-    assert life.decide(attempts.Fault.CUT, True) is attempts.Step.CONTINUE
+def test_a_partially_delivered_stream_is_continued() -> None:
+    progress = attempts.Life(repeatable=True, resumable=False)
+    progress.begin()
+    progress.delivered = 3
+    assert progress.decide(attempts.Fault.CUT, True) is attempts.Step.CONTINUE
 
 
-def test_retries_stay_a_share_of_successes() -> None:
-    """In a full outage the attempts per request come close to 1 plus the trickle."""
+def test_retries_are_limited_in_a_full_outage() -> None:
+    """Without successes, only the budget's constant rate per second is earned."""
     budget = retries.RetryBudget()
-    attempts_made = 0
+    attempt_count = 0
     for request in range(2000):
         now = 1.0 + request / 200
-        attempts_made += 1
+        attempt_count += 1
         for _ in range(attempts.MAX_ATTEMPTS - 1):
             if not budget.spend(now):
                 break
-            attempts_made += 1
-    factor = attempts_made / 2000
+            attempt_count += 1
+    factor = attempt_count / 2000
     print(f'amplification in a full outage: {factor:.3f}')
     assert factor < 1.02
 
--- a/passpier/tests/core/claims_tests.py
+++ b/passpier/tests/core/claims_tests.py
@@ -1,4 +1,4 @@
-"""A key table never lets a key run twice, whatever the clock does."""
+"""A key table never runs a key twice, whatever the clock does."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 RETENTION = 10.0
 
 
-class ClockTrustingTable(claims.KeyTable[str]):
-    """Broken variant: its horizon follows the clock back."""
+class MovingHorizonTable(claims.KeyTable[str]):
+    """Broken variant: its horizon moves back with the clock."""
 
     def _expire(self, now: float) -> None:
         super()._expire(now)
@@ -23,7 +23,7 @@
 
 
 class KeyMachine(stateful.RuleBasedStateMachine):
-    """Keys, answers, failures, and a wall clock that jumps both ways."""
+    """Keys, answers, failures, and a wall clock that jumps in both directions."""
 
     keys: stateful.Bundle = stateful.Bundle('keys')
 
@@ -78,17 +78,17 @@
 
 class BrokenMachine(KeyMachine):
     def make_table(self) -> claims.KeyTable[str]:
-        return ClockTrustingTable(RETENTION, max_entries=6)
+        return MovingHorizonTable(RETENTION, max_entries=6)
 
 
-KeyTest = KeyMachine.TestCase
+KeyTableTest = KeyMachine.TestCase
 
 
 def test_broken_variant_is_caught() -> None:
     broken.check_caught(BrokenMachine)
 
 
-def test_answers_are_given_again_and_joined() -> None:
+def test_running_keys_are_joined_and_answers_repeated() -> None:
     table: claims.KeyTable[str] = claims.KeyTable(RETENTION)
     assert table.begin('k', 5.0, 5.0) is claims.Verdict.RUN
     assert table.begin('k', 5.0, 5.0) is claims.Verdict.JOIN
@@ -97,7 +97,7 @@
     assert table.get_answer('k') == 'whole'
 
 
-def test_parse_key() -> None:
+def test_homed_and_opaque_keys_are_recognized() -> None:
     made = uuid_utils.uuid7()
     parsed = claims.parse_key(f'home.{made}')
     assert isinstance(parsed, claims.Homed)
--- a/passpier/tests/core/freshness_tests.py
+++ b/passpier/tests/core/freshness_tests.py
@@ -1,4 +1,4 @@
-"""How old knowledge may be, against a registry that changes at random times."""
+"""Freshness of knowledge, against a registry that changes at random times."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     assert known.proved_at == 13.0
 
 
-def test_a_watch_cut_short_proves_no_more_than_when_it_was_sent() -> None:
+def test_an_early_or_nonempty_watch_proves_the_time_when_it_was_sent() -> None:
     known = freshness.Freshness(5.0)
     known.prove_by_watch(10.0, 3.0, 11.0, True)
     assert known.proved_at == 10.0
@@ -46,33 +46,33 @@
 def test_a_change_is_known_or_the_bound_has_passed(
     delays: list[tuple[float, float, bool]], changes: list[float]
 ) -> None:
-    """The registry tells changes made before it answers; links delay calls; watches are cut."""
+    """The registry reports changes up to its response; calls are delayed and watches lost."""
     known = freshness.Freshness(5.0)
     now = 0.0
-    learnt_up_to = 0.0
+    known_up_to = 0.0
     known.prove(now)
     for out, back, cut in delays:
         wait = known.choose_wait(now, 0.3)
         sent_at, arrived = now, now + out
-        pending = sorted(c for c in changes if learnt_up_to < c <= arrived + wait)
+        pending = sorted(c for c in changes if known_up_to < c <= arrived + wait)
         if cut:
             now = arrived + back
             continue
-        # The registry answers at the first change or at the end of the wait.
+        # The registry responds at the first change or at the end of the wait.
         ended = arrived + wait
         if pending:
             ended = min(ended, max(arrived, pending[0]))
-        told = [c for c in pending if c <= ended]
+        reported = [c for c in pending if c <= ended]
         now = ended + back
-        known.prove_by_watch(sent_at, wait, now, not told)
-        learnt_up_to = ended
-        unknown = [c for c in changes if learnt_up_to < c <= now]
+        known.prove_by_watch(sent_at, wait, now, not reported)
+        known_up_to = ended
+        unknown = [c for c in changes if known_up_to < c <= now]
         for change in unknown:
             assert change > known.proved_at
-        assert known.proved_at <= learnt_up_to
+        assert known.proved_at <= known_up_to
 
 
-def test_waits_grow_short_as_the_proof_ages() -> None:
+def test_waits_get_shorter_as_the_proof_ages() -> None:
     known = freshness.Freshness(5.0)
     known.prove(100.0)
     assert known.choose_wait(100.0, 0.0) == freshness.WAIT_MAX
@@ -80,7 +80,7 @@
     assert known.choose_wait(110.0, 0.0) == freshness.WAIT_MIN
 
 
-def test_daemons_that_a_change_woke_together_prove_at_different_times() -> None:
+def test_daemons_woken_by_the_same_change_prove_freshness_at_different_times() -> None:
     rng = random.Random(5)
     worst = 0.0
     for _ in range(200):
--- a/passpier/tests/core/holders_tests.py
+++ b/passpier/tests/core/holders_tests.py
@@ -1,4 +1,4 @@
-"""No two holders give orders within the hold time of each other, whatever is lost or paused."""
+"""No two holders give orders within the hold time, whatever is lost or paused."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass
 class Lease:
-    """The registry's side of the right to give orders."""
+    """The lease in the registry."""
 
     owner: int = -1
     ends_at: float = 0.0
@@ -24,7 +24,7 @@
 
 
 class Daemon:
-    """One daemon; `broken` ones trust the registry's answer more than their own clock."""
+    """One daemon; a `broken` one doesn't check its own clock for the end of the lease."""
 
     def __init__(self, number: int, broken: bool) -> None:
         self.number = number
@@ -39,8 +39,10 @@
         return self.holder.may_order(now)
 
 
-def play(seed: int, broken: bool = False, impatient: bool = False) -> list[tuple[float, int, int]]:
-    """Return the orders given as time, daemon, token."""
+def simulate(
+    seed: int, broken: bool = False, no_wait: bool = False
+) -> list[tuple[float, int, int]]:
+    """Return the orders given, as time, daemon and token."""
     rng = random.Random(seed)
     lease = Lease()
     daemons = [Daemon(n, broken) for n in range(4)]
@@ -57,14 +59,14 @@
                 daemon.cut_until = now + rng.uniform(0.5, 6.0)
             if now < daemon.paused_until:
                 continue
-            step(daemon, lease, now, rng, impatient)
+            step(daemon, lease, now, rng, no_wait)
             if rng.random() < 0.3 and daemon.may_order(now):
                 orders.append((now, daemon.number, daemon.holder.token))
     return orders
 
 
-def step(daemon: Daemon, lease: Lease, now: float, rng: random.Random, impatient: bool) -> None:
-    """Renew or seek; answers may be lost after the effect."""
+def step(daemon: Daemon, lease: Lease, now: float, rng: random.Random, no_wait: bool) -> None:
+    """Renew the lease or seek election; a response may be lost after the effect."""
     holder = daemon.holder
     reached = now >= daemon.cut_until
     answered = reached and rng.random() > 0.2
@@ -81,39 +83,39 @@
         lease.owner, lease.ends_at = daemon.number, now + TTL
         if answered:
             holder.elect(lease.revision, now, now, before)
-            if impatient:
+            if no_wait:
                 holder.may_order_from = now
 
 
-def find_breaks(orders: list[tuple[float, int, int]]) -> list[str]:
-    breaks = []
+def find_violations(orders: list[tuple[float, int, int]]) -> list[str]:
+    violations = []
     for (t1, d1, k1), (t2, d2, k2) in zip(orders, orders[1:], strict=False):
         if d1 != d2 and t2 - t1 < HOLD:
-            breaks.append(f'{d1} and {d2} within {t2 - t1:.2f} s')
+            violations.append(f'{d1} and {d2} within {t2 - t1:.2f} s')
         if k2 < k1:
-            breaks.append('a token fell')
+            violations.append('a token fell')
     tokens: dict[int, int] = {}
     for _, daemon, token in orders:
         if tokens.setdefault(token, daemon) != daemon:
-            breaks.append('two holders of one token')
-    return breaks
+            violations.append('two holders of one token')
+    return violations
 
 
 @hypothesis.given(st.integers(0, 100_000))
 def test_no_two_holders_within_the_hold_time(seed: int) -> None:
-    assert find_breaks(play(seed)) == []
+    assert find_violations(simulate(seed)) == []
 
 
-def test_orders_are_given_at_all() -> None:
-    assert all(play(seed) for seed in range(5))
+def test_orders_are_given() -> None:
+    assert all(simulate(seed) for seed in range(5))
 
 
 def test_broken_variants_are_caught() -> None:
-    assert any(find_breaks(play(seed, broken=True)) for seed in range(30))
-    assert any(find_breaks(play(seed, impatient=True)) for seed in range(30))
+    assert any(find_violations(simulate(seed, broken=True)) for seed in range(30))
+    assert any(find_violations(simulate(seed, no_wait=True)) for seed in range(30))
 
 
-def test_whoever_succeeds_itself_need_not_wait() -> None:
+def test_a_reelected_holder_does_not_wait_again() -> None:
     holder = holders.Holder(HOLD, TTL)
     holder.elect(7, 10.0, 10.0, succeeds=4)
     holder.renew(13.0)
@@ -127,7 +129,7 @@
     assert not holder.may_order(30.2)
 
 
-def test_an_unfinished_wait_is_not_cut_short_by_a_second_election() -> None:
+def test_a_second_election_does_not_shorten_the_wait() -> None:
     holder = holders.Holder(HOLD, TTL)
     holder.elect(7, 10.0, 10.0, succeeds=4)
     holder.resign()
@@ -137,13 +139,13 @@
     assert holder.may_order(13.1)
 
 
-def test_an_election_won_unknowingly_counts_as_somebody_elses() -> None:
+def test_an_election_with_a_lost_response_counts_as_one_of_another_daemon() -> None:
     holder = holders.Holder(HOLD, TTL)
     holder.elect(8, 11.5, 11.5, succeeds=7)
     assert not holder.may_order(12.0)
 
 
-def test_the_right_ends_by_the_own_clock() -> None:
+def test_the_lease_ends_by_the_own_clock() -> None:
     holder = holders.Holder(HOLD, TTL)
     holder.elect(7, 10.0, 10.0, succeeds=0)
     holder.renew(13.1)
--- a/passpier/tests/core/kept_tests.py
+++ b/passpier/tests/core/kept_tests.py
@@ -1,4 +1,4 @@
-"""What a shared cache store holds, against the store itself."""
+"""Tracked contents of a cache store, against the store itself."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @hypothesis.given(st.lists(st.tuples(st.booleans(), st.integers(0, 9)), max_size=40))
-def test_events_in_order_give_what_is_held(events: list[tuple[bool, int]]) -> None:
+def test_events_in_order_give_the_contents(events: list[tuple[bool, int]]) -> None:
     known = kept.Kept()
     held: set[int] = set()
     for added, part in events:
@@ -23,7 +23,7 @@
     assert known.holds_all(sorted(held), 0.0)
 
 
-def test_a_restarted_store_holds_nothing() -> None:
+def test_a_restarted_store_is_empty() -> None:
     known = kept.Kept()
     known.begin_epoch(1)
     known.apply([1, 2], [])
@@ -33,7 +33,7 @@
     assert not known.holds_all([1], 0.0)
 
 
-def test_what_is_being_saved_counts_for_a_while_only() -> None:
+def test_parts_being_saved_count_for_a_limited_time() -> None:
     known = kept.Kept()
     known.note_saving([1, 2], 10.0)
     assert known.holds_all([1, 2], 10.1)
@@ -42,6 +42,6 @@
     assert known.holds_all([1], 99.0)
 
 
-def test_salts_keep_parts_apart() -> None:
+def test_parts_differ_by_salt() -> None:
     assert kept.identify('a/m/1', 'p') != kept.identify('a/m/2', 'p')
     assert kept.identify('a', 'bp') != kept.identify('ab', 'p')
--- a/passpier/tests/core/readers_tests.py
+++ b/passpier/tests/core/readers_tests.py
@@ -1,4 +1,4 @@
-"""Who follows the registry, and whom the others ask."""
+"""The choice of readers of the registry, and which of them the others ask."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @hypothesis.given(st.integers(1, 300), st.randoms())
-def test_all_choose_alike_whatever_the_order(size: int, rng: random.Random) -> None:
+def test_the_choice_does_not_depend_on_the_order_of_members(size: int, rng: random.Random) -> None:
     fleet = make_fleet(size)
     chosen = readers.choose_readers(fleet)
     rng.shuffle(fleet)
@@ -28,7 +28,7 @@
 
 
 @hypothesis.given(st.integers(8, 120), st.integers(0, 7))
-def test_the_loss_of_one_member_changes_one_reader_at_most(size: int, lost: int) -> None:
+def test_the_loss_of_a_member_changes_few_readers(size: int, lost: int) -> None:
     fleet = make_fleet(size)
     before = {m.name for m in readers.choose_readers(fleet)}
     after = {m.name for m in readers.choose_readers(fleet[:lost] + fleet[lost + 1 :])}
@@ -44,7 +44,7 @@
     assert {m.name for m in asked if m} == {m.name for m in chosen}
 
 
-def test_the_questions_are_spread_over_the_readers() -> None:
+def test_queries_are_spread_over_the_readers() -> None:
     fleet = make_fleet(200)
     chosen = readers.choose_readers(fleet)
     asked = [readers.choose_teller(m, chosen, 0) for m in fleet if m not in chosen]
@@ -52,14 +52,14 @@
     assert most <= 2.2 * len(asked) / len(chosen)
 
 
-def test_large_vms_read() -> None:
+def test_large_vms_are_chosen_first() -> None:
     fleet = make_fleet(40)
     large = [msgspec.structs.replace(m, capacity=2.0) for m in fleet[10:14]]
     chosen = readers.choose_readers([*fleet[:10], *large, *fleet[14:]])
     assert {m.capacity for m in chosen} == {2.0}
 
 
-def test_whoever_is_alone_asks_nobody() -> None:
+def test_a_single_daemon_asks_no_other() -> None:
     (own,) = make_fleet(1)
     assert readers.choose_readers([own]) == [own]
     assert readers.choose_teller(own, [own], 0) is None
--- a/passpier/tests/core/retries_tests.py
+++ b/passpier/tests/core/retries_tests.py
@@ -1,4 +1,4 @@
-"""The shared budget of retries holds over all daemons, though they do not talk."""
+"""The shared retry budget holds over all daemons without coordination."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
         assert count <= RATIO * asked + SLACK
 
 
-def test_a_lone_daemon_may_use_most_of_it() -> None:
+def test_a_single_daemon_may_use_most_of_the_budget() -> None:
     budget = retries.SharedBudget(RATIO, SLACK, WINDOW)
     for n in range(100):
         budget.note_request(n / 100)
     granted = sum(budget.spend(1.0, 1) for _ in range(100))
-    assert granted == int((RATIO * 100 + SLACK) * retries.BUDGET_CAUTION)
+    assert granted == int((RATIO * 100 + SLACK) * retries.BUDGET_SAFETY_FACTOR)
