--- a/passpier/core/__init__.py
+++ b/passpier/core/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: pure functions and state, without input or output."""
+"""Decision logic: pure functions and state without I/O."""
--- a/passpier/core/backpressure.py
+++ b/passpier/core/backpressure.py
@@ -1,4 +1,4 @@
-"""What replicas ask, in their answers, of those who send them requests."""
+"""Backpressure signals in the responses of replicas."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class Signal(msgspec.Struct, frozen=True):
-    """What one answer asks for; it concerns the process of the replica that gave it."""
+    """The signals of one response; they apply to the replica process that sent it."""
 
     limit: float | None = None
-    """Requests a second that the replica takes from all daemons together; none: it names none."""
+    """Requests per second that the replica accepts from all daemons together, if it is limited."""
 
     leaving: bool = False
-    """Whether the replica is about to end and wants no new requests."""
+    """Whether the replica is shutting down and accepts no new requests."""
 
     backoff: float | None = None
-    """Seconds for which the daemon that it has just refused is to send nothing more."""
+    """Seconds for which the refused daemon must not send further requests."""
 
 
 NO_SIGNAL = Signal()
--- a/passpier/core/blocks.py
+++ b/passpier/core/blocks.py
@@ -1,8 +1,8 @@
-"""Chained identities of prompt blocks.
+"""Chained hashes that identify prompt blocks.
 
-A block's identity covers everything before it and is rooted in the client account, the model,
-the weight version and the adapter. Entries of another account or of older weights can therefore
-never be equal, so isolation needs no check at lookup.
+A block's hash covers all blocks before it and is rooted in the client account, the model, the
+weight version and the adapter. Hashes of other accounts or weight versions are therefore never
+equal, and lookups need no separate isolation check.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Scope(msgspec.Struct, frozen=True):
-    """What cached blocks must share to be interchangeable."""
+    """The properties that cached blocks must have in common to be interchangeable."""
 
     account: str
     model: str
@@ -28,7 +28,7 @@
 
 
 def encode_text(text: str) -> bytes:
-    """Return the canonical token string of a text: its UTF-8 bytes, padded to whole tokens."""
+    """Return the canonical token string of a text: its UTF-8 bytes padded to whole tokens."""
     data = text.encode()
     return data + b' ' * (-len(data) % BYTES_PER_TOKEN)
 
@@ -44,13 +44,13 @@
 
 
 def compute_root(scope: Scope) -> int:
-    """Return the identity that a scope's first block is chained to."""
+    """Return the hash to which the first block of a scope is chained."""
     fields = (scope.account, scope.model, scope.weight_version, scope.adapter)
     return xxhash.xxh3_64_intdigest(_FIELD_SEPARATOR.join(f.encode() for f in fields))
 
 
 def compute_chain(root: int, data: bytes, block_tokens: int) -> list[int]:
-    """Return the identities of the whole blocks in `data`; a partial last block has none."""
+    """Return the hashes of the complete blocks in `data`; a partial last block has none."""
     size = block_tokens * BYTES_PER_TOKEN
     view = memoryview(data)
     chain = []
--- a/passpier/core/claims.py
+++ b/passpier/core/claims.py
@@ -102,7 +102,7 @@
         return len(self._entries)
 
     def begin(self, key: str, made_at: float, now: float) -> Verdict:
-        """Decide on a request; `RUN` marks the key as running. Times are seconds since the epoch."""
+        """Decide on a request; `RUN` marks the key as running. Times are Unix times in seconds."""
         self._expire(now)
         entry = self._entries.get(key)
         if entry is not None:
--- a/passpier/core/drain.py
+++ b/passpier/core/drain.py
@@ -1,4 +1,4 @@
-"""The phases of a daemon's planned stop."""
+"""Phases of a daemon's planned stop."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class Phase(enum.Enum):
-    """How far a stop has come."""
+    """The phase of a stop."""
 
     SERVING = 'serving'
     ANNOUNCED = 'announced'
-    """No answer names this daemon any more; callers with old addresses are still served."""
+    """This daemon is no longer listed as an entry, but callers with old addresses are served."""
 
     CLOSING = 'closing'
-    """No new requests; what runs is finished."""
+    """New requests are refused; running ones are finished."""
 
     STOPPED = 'stopped'
 
 
 MARGIN = 3.0
-"""Seconds on top of the entry lifetime for which old addresses are served."""
+"""Seconds beyond the lifetime of entries for which callers with old addresses are served."""
 
 
 class Drain(msgspec.Struct):
-    """A stop's progress; times in seconds."""
+    """The progress of a stop; times are in seconds."""
 
     entry_ttl: float
     bound: float
@@ -34,33 +34,34 @@
     forced: bool = False
 
     def configure(self, entry_ttl: float, bound: float, margin: float = MARGIN) -> None:
-        """Set the times, also of a stop that has begun."""
+        """Set the times; they also apply to a stop in progress."""
         self.entry_ttl = entry_ttl
         self.bound = bound
         self.margin = margin
 
     def begin(self, not_later: float) -> None:
-        """Start the stop; a second call changes nothing.
+        """Start the stop; a second call has no effect.
 
-        All its times count from `not_later`, at which the stop had certainly not been asked for
-        yet: a process that got no time since has noticed late, and may be killed soon.
+        All times count from `not_later`, a time at which the stop had certainly not been requested
+        yet. A process that was suspended since then notices the request late and may be killed
+        soon.
         """
         if self.began_at is None:
             self.began_at = not_later
 
     def force(self) -> None:
-        """End the stop now, whatever runs."""
+        """End the stop now, regardless of running requests."""
         self.forced = True
 
     def takes(self, now: float) -> bool:
-        """Return whether new requests are taken, as long as many come with old addresses."""
+        """Return whether new requests are accepted, as long as many come with old addresses."""
         if self.began_at is None:
             return True
-        taking = min(self.entry_ttl + self.margin, self.bound)
-        return not self.forced and now - self.began_at < taking
+        accept_seconds = min(self.entry_ttl + self.margin, self.bound)
+        return not self.forced and now - self.began_at < accept_seconds
 
     def get_phase(self, in_flight: int, now: float) -> Phase:
-        """Return the phase at this time with so many requests running or just ended."""
+        """Return the current phase; `in_flight` counts running and just finished requests."""
         if self.began_at is None:
             return Phase.SERVING
         elapsed = now - self.began_at
--- a/passpier/core/ejection.py
+++ b/passpier/core/ejection.py
@@ -1,17 +1,17 @@
-"""Takes upstreams that keep failing out of choice for a while."""
+"""Temporarily ejects upstreams that fail repeatedly from load balancing."""
 
 from __future__ import annotations
 
 import msgspec
 
 FAILURES_TO_EJECT = 3
-"""Failures in a row that eject an upstream."""
+"""Consecutive failures that eject an upstream."""
 
 BASE_SECONDS = 1.0
 MAX_SECONDS = 30.0
 
 MAX_SHARE = 0.5
-"""Share of a pool that may be ejected at once; beyond it the failing are tried all the same."""
+"""Maximum ejected share of a pool; beyond it, failing upstreams are used nevertheless."""
 
 
 class _Health(msgspec.Struct):
@@ -21,13 +21,13 @@
 
 
 class Ejector:
-    """Failures in a row and current ejections, by upstream."""
+    """Consecutive failures and current ejections by upstream."""
 
     def __init__(self) -> None:
         self._health: dict[str, _Health] = {}
 
     def note_success(self, name: str) -> None:
-        """Clear an upstream's record."""
+        """Reset an upstream's failures and ejections."""
         self._health.pop(name, None)
 
     def note_failure(self, name: str, now: float) -> bool:
@@ -41,12 +41,12 @@
         return True
 
     def is_ejected(self, name: str, now: float) -> bool:
-        """Return whether an upstream is out of choice."""
+        """Return whether an upstream is currently ejected."""
         health = self._health.get(name)
         return health is not None and health.until > now
 
     def select(self, names: list[str], now: float) -> list[str]:
-        """Return the names that may be chosen, keeping at least the allowed share."""
+        """Return the upstreams to choose from, with the ejected share limited to `MAX_SHARE`."""
         healthy = [n for n in names if not self.is_ejected(n, now)]
         least = len(names) - int(len(names) * MAX_SHARE)
         if len(healthy) >= least:
--- a/passpier/core/events.py
+++ b/passpier/core/events.py
@@ -1,33 +1,33 @@
-"""Cuts a stream of server-sent events into whole events, so that none is passed on in part."""
+"""Splits a stream of server-sent events into complete events."""
 
 from __future__ import annotations
 
-_ENDS = (b'\n\n', b'\r\n\r\n')
+_TERMINATORS = (b'\n\n', b'\r\n\r\n')
 
 
 class Splitter:
-    """Collects bytes and hands out whole events; `last_id` is that of the last one handed out."""
+    """Buffers bytes and returns complete events; `last_id` is the id of the last one returned."""
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._buffer = b''
         self.last_id = ''
 
     @property
     def has_rest(self) -> bool:
-        """Whether part of an event is still waiting for its end."""
-        return bool(self._rest.strip())
+        """Whether the buffer contains an incomplete event."""
+        return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the events that `data` completes, each with its ending."""
-        self._rest += data
+        """Return the events completed by `data`, each with its terminator."""
+        self._buffer += data
         events: list[bytes] = []
         while True:
-            ends = [(i, e) for e in _ENDS if (i := self._rest.find(e)) >= 0]
-            if not ends:
+            candidates = [(i, e) for e in _TERMINATORS if (i := self._buffer.find(e)) >= 0]
+            if not candidates:
                 return events
-            index, ending = min(ends)
-            event = self._rest[: index + len(ending)]
-            self._rest = self._rest[len(event) :]
+            index, ending = min(candidates)
+            event = self._buffer[: index + len(ending)]
+            self._buffer = self._buffer[len(event) :]
             self.last_id = _find_id(event) or self.last_id
             events.append(event)
 
--- a/passpier/core/evictions.py
+++ b/passpier/core/evictions.py
@@ -1,7 +1,7 @@
-"""Turns one engine's cache events into changes of the view.
+"""Translates an engine's cache events into block hashes of the cache view.
 
-Engine block hashes mean nothing outside the engine. The router's own identities are computed
-from the tokens that an event carries, rooted in the account that the event names.
+An engine's own block hashes have no meaning outside of the engine. The hashes of the cache view are
+computed from the tokens in an event and rooted in its account.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Stored(msgspec.Struct, frozen=True):
-    """Blocks added to a cache, as a chain behind `parent` (an engine hash, or none)."""
+    """Blocks added to a cache, as a chain after `parent` (an engine hash, or `None`)."""
 
     hashes: Sequence[int]
     parent: int | None
@@ -25,7 +25,7 @@
 
 
 class Translator:
-    """The engine hashes of one engine incarnation with the router's identities."""
+    """Maps the hashes of one engine incarnation to those of the cache view."""
 
     def __init__(self, model: str, weight_version: str, block_tokens: int) -> None:
         self._model = model
@@ -37,7 +37,7 @@
         return len(self._known)
 
     def store(self, event: Stored) -> list[int]:
-        """Return the identities of added blocks; none if their chain is not known whole."""
+        """Return the hashes of added blocks, or an empty list if their chain isn't fully known."""
         if event.block_size != self._block_tokens or not event.account:
             return []
         parent = self._find_parent(event)
@@ -51,7 +51,7 @@
         return chain
 
     def remove(self, hashes: Sequence[int]) -> list[int]:
-        """Return the identities of removed blocks, as far as known."""
+        """Return the hashes of removed blocks, as far as they are known."""
         found = [self._known.pop(h, None) for h in hashes]
         return [block for block in found if block is not None]
 
--- a/passpier/core/fingerprints.py
+++ b/passpier/core/fingerprints.py
@@ -1,29 +1,30 @@
-"""Names requests by what makes them the same one when they come again."""
+"""Fingerprints that identify repeated requests."""
 
 from __future__ import annotations
 
 import hashlib
 
 SIZE = 8
-"""Bytes of a fingerprint. Another account's can't be met by design: that takes some 2**64 trials,
-as the hash is a cryptographic one."""
+"""Size of a fingerprint in bytes. As the hash is cryptographic, matching the fingerprint of another
+account on purpose takes about 2**64 attempts."""
 
 
 def compute_fingerprint(account: str, method: str, host: str, target: str, body: bytes) -> int:
-    """Return the fingerprint of a request; its text can't be told from it.
+    """Return the fingerprint of a request, which doesn't reveal its content.
 
-    A request that comes again has another id, and mostly comes to another daemon. The account is a
-    part of it, so that no account can bring another one's requests under suspicion.
+    A repeated request has another request id and is usually sent to another daemon, so only these
+    properties are hashed. They include the account, so that no account can make the requests of
+    another one suspects.
     """
     digest = hashlib.blake2b(digest_size=SIZE)
     for part in (account, method, host, target):
         data = part.encode()
-        # With its length, so that no two lists of parts read the same.
+        # Prefixed with its length, so that different lists of parts are never encoded alike.
         digest.update(len(data).to_bytes(4, 'big') + data)
     digest.update(body)
     return int.from_bytes(digest.digest(), 'big')
 
 
 def render_fingerprint(fingerprint: int) -> str:
-    """Return a fingerprint as log lines show it."""
+    """Return the form of a fingerprint used in log lines."""
     return f'{fingerprint:016x}'
--- a/passpier/core/freshness.py
+++ b/passpier/core/freshness.py
@@ -28,7 +28,7 @@
 
 
 class Freshness(msgspec.Struct):
-    """The age of the newest proof, compared to the bound within which a revocation must be known."""
+    """The age of the newest proof and the bound within which a key revocation must be known."""
 
     bound: float
     proved_at: float = float('-inf')
--- a/passpier/core/orders.py
+++ b/passpier/core/orders.py
@@ -1,8 +1,8 @@
-"""Orders to upstreams: which are needed, and who may give them when.
+"""Orders to upstreams: which ones are needed, and when they may be given.
 
-An order states a wanted state, never a step, and carries a fencing number. For upstreams that do
-not check the number, a new holder waits out the longest order of the one before it, and whatever
-a late order did is compared with the wanted state and set right.
+An order contains the wanted state, never a change, and a fencing token. For upstreams that don't
+check the token, a new lease holder waits for the longest possible order of its predecessor, and any
+effect of a late order is detected by comparing the observed with the wanted state, and corrected.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import msgspec
 
 LONGEST_ORDER = 30.0
-"""Seconds after which an order that was sent has certainly ended."""
+"""Maximum duration of an order in seconds, after which it has certainly ended."""
 
 
 class Wanted(msgspec.Struct, frozen=True):
@@ -33,7 +33,7 @@
 
 
 class OrderBook(msgspec.Struct):
-    """The orders of one holder of the lease: at most one open for each upstream."""
+    """The orders of one lease holder, with at most one open order per upstream."""
 
     fence: int
     held_since: float
@@ -43,20 +43,20 @@
     def plan(
         self, wanted: Sequence[Wanted], observed: Sequence[Observed], serving: int, now: float
     ) -> list[Wanted]:
-        """Return the orders to give now, within the weight store's rate.
+        """Return the orders to give now, limited by the capacity of the weight store.
 
-        At most one replica fewer than `serving` is taken away at a time, so that a pool never
-        loads new weights everywhere at once.
+        At most one fewer than `serving` replicas load at the same time, but one always may, so that
+        a pool never loads new weights on all its replicas at once.
         """
         versions = {o.upstream: o.weight_version for o in observed}
         for item in wanted:
             if versions.get(item.upstream) == item.weight_version:
-                # Carried out, whether or not its answer came.
+                # The order was carried out, even if its response was lost.
                 self.finish(item.upstream)
-        room = min(self.max_loads, max(1, serving - 1)) - len(self.open)
+        available = min(self.max_loads, max(1, serving - 1)) - len(self.open)
         orders: list[Wanted] = []
         for item in wanted:
-            if len(orders) >= room:
+            if len(orders) >= available:
                 break
             if versions.get(item.upstream) in (None, item.weight_version):
                 continue
@@ -67,11 +67,11 @@
         return orders
 
     def finish(self, upstream: str) -> None:
-        """Note that an order was answered."""
+        """Close an order that has ended."""
         self.open.pop(upstream, None)
 
     def expire(self, now: float) -> None:
-        """Close orders whose answer never came once they have certainly ended."""
+        """Close orders without a response once they have certainly ended."""
         for upstream in [u for u, at in self.open.items() if now - at > LONGEST_ORDER]:
             del self.open[upstream]
 
--- a/passpier/core/pace.py
+++ b/passpier/core/pace.py
@@ -1,28 +1,28 @@
-"""How long engines take from one token of an answer to the next, by pool."""
+"""Average time between tokens of an answer, by pool."""
 
 from __future__ import annotations
 
-FIRST_SECONDS = 0.05
-"""Seconds a token before anything was measured: that of an engine whose slots are all in use."""
+DEFAULT_SECONDS = 0.05
+"""Seconds per token assumed before any measurement; typical of an engine with all slots in use."""
 
-WEIGHT = 0.05
-"""Part that one gap has in the mean: it follows a change within some twenty tokens."""
+SAMPLE_WEIGHT = 0.05
+"""Weight of a new sample in the moving average, which follows a change within about 20 tokens."""
 
-SLOWDOWN = 2.0
-"""Times the mean that is reckoned with: answers slow down when more of them run beside."""
+SAFETY_FACTOR = 2.0
+"""Factor on the average in estimates, as answers slow down when more of them run in parallel."""
 
 
 class Pace:
-    """Means of the gaps between tokens."""
+    """Moving averages of the gaps between tokens."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
 
     def note(self, pool: str, gap: float) -> None:
-        """Count a gap between two tokens of one answer, in seconds."""
+        """Add a gap between two tokens of an answer, in seconds."""
         mean = self._means.get(pool, gap)
-        self._means[pool] = mean + WEIGHT * (gap - mean)
+        self._means[pool] = mean + SAMPLE_WEIGHT * (gap - mean)
 
     def estimate(self, pool: str, tokens: int) -> float:
-        """Return the seconds that an answer of so many tokens may take after its first."""
-        return self._means.get(pool, FIRST_SECONDS) * SLOWDOWN * tokens
+        """Return the estimated seconds for `tokens` further tokens after the first."""
+        return self._means.get(pool, DEFAULT_SECONDS) * SAFETY_FACTOR * tokens
--- a/passpier/core/prompts.py
+++ b/passpier/core/prompts.py
@@ -1,8 +1,8 @@
-"""Prompts described by named parts: identities that never match across a wall.
+"""Prompts described by named parts, with hashes that respect the isolation of accounts.
 
-A part's identity is chained over the parts before it and rooted in the account (if it is isolated)
-and the model. Weight versions are kept apart by the view, which drops what a replica held when its
-version changes, and at the engines by the salt.
+A part's hash is chained over the parts before it and rooted in the account (if it is isolated) and
+the model. Weight versions are separated by the cache view, which drops the entries of a replica
+when its version changes, and at the engines by the salt.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class Part(msgspec.Struct, frozen=True):
-    """A part of a prompt; parts with the same name hold the same tokens."""
+    """A part of a prompt; parts with the same name have the same tokens."""
 
     name: str
     tokens: int
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """What a request says of its prompt; `max_output` is in tokens."""
+    """The description of a prompt in a request; `max_output` is in tokens."""
 
     model: str
     parts: tuple[Part, ...]
@@ -31,18 +31,18 @@
 
     @property
     def tokens(self) -> int:
-        """The length of the prompt."""
+        """The length of the prompt in tokens."""
         return sum(p.tokens for p in self.parts)
 
 
 def render_salt(account: routes.Account | None, model: str, weight_version: str) -> str:
-    """Return the text under which an engine keeps and finds cached parts."""
+    """Return the salt that separates an engine's cached parts by account, model and version."""
     owner = account.name if account is not None and account.isolated else ''
     return f'{owner}/{model}/{weight_version}'
 
 
 def build_job(prompt: Prompt, account: routes.Account | None, priority: int) -> choice.Job:
-    """Return what the choice of a replica needs to know of a prompt."""
+    """Return the properties of a prompt for the choice of a replica."""
     chain = []
     identity = xxhash.xxh3_64_intdigest(render_salt(account, prompt.model, '').encode())
     for part in prompt.parts:
@@ -61,16 +61,16 @@
 
 
 def count_preamble(prompt: Prompt) -> int:
-    """Return how many leading parts other families share, too.
+    """Return the number of leading parts that are shared by several families.
 
-    Families are spread over the pool, so that every replica comes to hold these parts. Were their
-    copies charged as duplicates, all prompts that are new after a change of weights would follow
-    them to the few replicas that hold them first.
+    Families are spread over the pool, so every replica eventually caches these parts. If their
+    copies were charged as duplicates, all new prompts after a change of weights would be sent to
+    the few replicas that are the first to cache them.
     """
     return max(0, len(prompt.parts) - 2)
 
 
 def get_family(prompt: Prompt) -> str:
-    """Return the name of the last part that other prompts share; it outlives weight versions."""
+    """Return the name of the last shared part; it doesn't depend on the weight version."""
     shared = prompt.parts[:-1] or prompt.parts
     return shared[-1].name if shared else ''
--- a/passpier/core/rendezvous.py
+++ b/passpier/core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: a stable order of names for a key."""
+"""Rendezvous hashing: a stable ranking of names for a key."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 def find_first(key: str, names: tuple[str, ...], count: int) -> tuple[str, ...]:
     """Return the `count` names with the highest weights for `key`, the highest first."""
-    return _find_first(key, _share(names), count)
+    return _find_first(key, _intern(names), count)
 
 
 @functools.lru_cache(maxsize=64)
-def _share(names: tuple[str, ...]) -> tuple[str, ...]:
-    """Return one object for equal tuples: a cache must not hold a large pool for each key."""
+def _intern(names: tuple[str, ...]) -> tuple[str, ...]:
+    """Return one object for equal tuples, so that the cache doesn't hold a large pool per key."""
     return names
 
 
@@ -37,12 +37,12 @@
 
 
 def rank_spread(key: str, groups: dict[str, str]) -> list[str]:
-    """Return the names (name to group) ranked so that early ones lie in different groups."""
-    rounds: dict[str, int] = {}
-    placed = []
+    """Return the names (keys of `groups`), ranked so that the first are in different groups."""
+    group_sizes: dict[str, int] = {}
+    ranked = []
     for position, name in enumerate(rank_names(key, groups)):
-        turn = rounds.get(groups[name], 0)
-        rounds[groups[name]] = turn + 1
-        placed.append((turn, position, name))
-    placed.sort()
-    return [name for _, _, name in placed]
+        group_rank = group_sizes.get(groups[name], 0)
+        group_sizes[groups[name]] = group_rank + 1
+        ranked.append((group_rank, position, name))
+    ranked.sort()
+    return [name for _, _, name in ranked]
--- a/passpier/core/revisions.py
+++ b/passpier/core/revisions.py
@@ -1,4 +1,4 @@
-"""Which configuration is in force at a daemon: only ever a newer one."""
+"""Configuration revisions, their storage in chunks, and the active one."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 import xxhash
 
 CHUNK_SIZE = 512 * 1024
-"""Bytes of a configuration document that one store value holds at most."""
+"""Maximum bytes of a configuration document in one store value."""
 
 BOUNDARY = b'},{'
-"""Where a document may be cut: between two items of a list."""
+"""Where a document may be split: between two items of a list."""
 
-CUT_EVERY = 128
-"""Items between two cuts, on average."""
+ITEMS_PER_CHUNK = 128
+"""Average number of items per chunk."""
 
 
 class Index(msgspec.Struct, frozen=True):
-    """The accepted configuration: its number, its parts, and who accepted it.
+    """The accepted configuration: its revision, its chunks and the write that set it.
 
-    `nonce` tells an operator whose answer was lost whether it was his write that took effect.
+    With `nonce`, an operator whose response was lost can check whether the write took effect.
     """
 
     revision: int
@@ -31,14 +31,14 @@
 
 
 class Revision(msgspec.Struct, frozen=True):
-    """A whole configuration: its index and its chunks by content hash."""
+    """A complete configuration: its index and its chunks by content hash."""
 
     index: Index
     chunks: Mapping[str, bytes]
 
     @property
     def document(self) -> bytes:
-        """The document."""
+        """The configuration document."""
         return b''.join(self.chunks[name] for name in self.index.chunks)
 
 
@@ -48,9 +48,10 @@
 
 
 def split_document(document: bytes) -> list[bytes]:
-    """Return a document's chunks in order.
+    """Split a document into chunks.
 
-    A cut depends only on the item before it, so a change of one item changes one chunk or two.
+    A split point depends only on the item before it, so a change of one item changes only one or
+    two chunks.
     """
     chunks = []
     start = 0
@@ -58,7 +59,7 @@
     while position >= 0:
         end = position + len(BOUNDARY)
         item = document[max(start, document.rfind(BOUNDARY, start, position)) : position]
-        if xxhash.xxh3_64_intdigest(item) % CUT_EVERY == 0:
+        if xxhash.xxh3_64_intdigest(item) % ITEMS_PER_CHUNK == 0:
             chunks.append(document[start:end])
             start = end
         position = document.find(BOUNDARY, end)
@@ -67,7 +68,7 @@
 
 
 def build_revision(index: Index, chunks: Mapping[str, bytes]) -> Revision | None:
-    """Return the revision of an index; none if a chunk is missing or damaged."""
+    """Return the revision of an index, or `None` if a chunk is missing or corrupt."""
     for name in index.chunks:
         chunk = chunks.get(name)
         if chunk is None or hash_chunk(chunk) != name:
@@ -76,18 +77,18 @@
 
 
 class Holder:
-    """The configuration in force; steps only forward."""
+    """The active configuration; only a newer revision replaces it."""
 
     def __init__(self) -> None:
         self.current: Revision | None = None
 
     @property
     def number(self) -> int:
-        """The revision in force; 0 for none."""
+        """The active revision, or 0 if there is none."""
         return self.current.index.revision if self.current else 0
 
     def install(self, revision: Revision) -> bool:
-        """Put a revision in force if it is newer; return whether it was."""
+        """Activate a revision if it is newer; return whether it was."""
         if revision.index.revision <= self.number:
             return False
         self.current = revision
--- a/passpier/core/routes.py
+++ b/passpier/core/routes.py
@@ -1,4 +1,4 @@
-"""Which service and which rules a request falls under: routes by host and path prefix."""
+"""Routes by host and path prefix, with their services and client accounts."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 
 
 class Kind(enum.Enum):
-    """What may be done with a request whose attempt has failed."""
+    """How a request may be retried after a failed attempt."""
 
     REPEATABLE = 'repeatable'
     """May run any number of times."""
 
     ONCE = 'once'
-    """Runs at most once for each attempt of the client."""
+    """Runs at most once per attempt of the client."""
 
     STREAM = 'stream'
-    """A series of events; runs at most once."""
+    """A stream of events; runs at most once."""
 
     RESUMABLE_STREAM = 'resumable_stream'
-    """A series of events that another replica may go on with behind a given event."""
+    """A stream of events that another replica can resume after a given event."""
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is a series of events."""
+        """Whether the response is a stream of events."""
         return self in (Kind.STREAM, Kind.RESUMABLE_STREAM)
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a second run does no harm."""
+        """Whether the request may run more than once."""
         return self in (Kind.REPEATABLE, Kind.RESUMABLE_STREAM)
 
 
 class Share(msgspec.Struct, frozen=True):
-    """A service's part of a route's traffic."""
+    """A service's share of a route's traffic."""
 
     service: str
     weight: int
 
 
 class Route(msgspec.Struct, frozen=True):
-    """The rules of one host and path prefix; times are in seconds."""
+    """The settings for a host and path prefix; times are in seconds."""
 
     name: str
     host: str
@@ -57,29 +57,29 @@
     priority: int = 1
     public: bool = False
     event_gap: float = 0.0
-    """Longest pause between events that still counts as in time; 0 if none is given."""
+    """Longest pause between events that still counts as in time, or 0 if there is no limit."""
 
 
 class Account(msgspec.Struct, frozen=True):
-    """A client account as the operator declares it."""
+    """A client account as configured by the operator."""
 
     name: str
     keys: tuple[str, ...]
     priority: int | None = None
     isolated: bool = False
-    """Whether nothing that this account's prompts left in a cache may serve another account."""
+    """Whether other accounts must not use cache entries of this account's prompts."""
 
     rate: buckets.Rate | None = None
-    """What it may spend, over all daemons; none if it is not limited."""
+    """Its rate limit over all daemons, if any."""
 
     counts_tokens: bool = False
-    """Whether the rate is in tokens; it is in requests otherwise."""
+    """Whether the rate is in tokens instead of requests."""
 
     plain_cost: int = 1
-    """Units that a request counts whose tokens are not known."""
+    """Cost in units of a request whose number of tokens is unknown."""
 
     def compute_cost(self, tokens: int | None) -> int:
-        """Return the units that one run of a request counts against the rate."""
+        """Return the cost of one run of a request in units of the rate."""
         if not self.counts_tokens:
             return 1
         return self.plain_cost if tokens is None else tokens
@@ -94,7 +94,7 @@
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """What the replicas of a model service can do."""
+    """The capabilities of the replicas of a model service."""
 
     models: tuple[str, ...]
     slots: int
@@ -102,7 +102,7 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service that requests can be routed to; `engine` is none for plain services."""
+    """A service that requests can be routed to; `engine` is `None` for plain services."""
 
     name: str
     max_connections: int
@@ -110,7 +110,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """One version of everything that the operator declares."""
+    """One version of the operator's configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -118,14 +118,14 @@
     cache_stores: tuple[CacheStore, ...] = ()
     accounts: tuple[Account, ...] = ()
     has_accounts: bool = False
-    """Whether requests on routes that are not public need a key."""
+    """Whether requests need a key, except on public routes."""
 
     max_body: int = 4 * 1024 * 1024
-    """Bytes."""
+    """Maximum size of a request body in bytes."""
 
 
 class Table:
-    """A configuration with its routes and keys arranged for look-up."""
+    """A configuration with its routes and keys indexed for lookup."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
@@ -147,7 +147,7 @@
         return self._accounts.get(key)
 
     def choose_service(self, route: Route, request: str) -> str:
-        """Return the service of one request: a stable draw by the weights of the split."""
+        """Return the service for a request, a stable choice by the weights of the shares."""
         total = sum(s.weight for s in route.shares)
         point = rendezvous.compute_weight(request, route.name) % max(1, total)
         for share in route.shares:
--- a/passpier/core/streams.py
+++ b/passpier/core/streams.py
@@ -1,4 +1,4 @@
-"""Order and wholeness of one upstream attempt's chunks."""
+"""Checks the order and completeness of the chunks of an attempt."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Tracker(msgspec.Struct):
-    """Follows the chunks of one attempt; `next_sequence` is the next one wanted."""
+    """Tracks the chunks of one attempt; `next_sequence` is the next one expected."""
 
     attempt: str
     next_sequence: int = 0
@@ -24,7 +24,7 @@
     ended: bool = False
 
     def check(self, attempt: str, sequence: int, final: bool) -> Verdict:
-        """Judge a chunk by the attempt that it names and its place."""
+        """Decide on a chunk by its attempt id and sequence number."""
         if attempt != self.attempt or sequence < self.next_sequence or self.ended:
             self.dropped += 1
             return Verdict.DROP
--- a/passpier/tests/core/events_tests.py
+++ b/passpier/tests/core/events_tests.py
@@ -1,4 +1,4 @@
-"""Whole events out of any cut of the bytes."""
+"""Complete events are returned for any split of the bytes."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 
 
 @hypothesis.given(texts, st.lists(st.integers(1, 9)), st.booleans())
-def test_any_cut_gives_the_same_events(lines: list[str], cuts: list[int], carriage: bool) -> None:
-    end = '\r\n' if carriage else '\n'
-    made = [f'id: {n}{end}data: {text}{end}{end}'.encode() for n, text in enumerate(lines)]
-    stream = b''.join(made)
+def test_any_split_gives_the_same_events(
+    lines: list[str], cuts: list[int], carriage_return: bool
+) -> None:
+    end = '\r\n' if carriage_return else '\n'
+    expected = [f'id: {n}{end}data: {text}{end}{end}'.encode() for n, text in enumerate(lines)]
+    stream = b''.join(expected)
     splitter = events.Splitter()
-    got = []
+    received = []
     for cut in cuts:
-        got += splitter.feed(stream[:cut])
+        received += splitter.feed(stream[:cut])
         stream = stream[cut:]
-    got += splitter.feed(stream)
-    assert got == made
+    received += splitter.feed(stream)
+    assert received == expected
     assert not splitter.has_rest
     assert splitter.last_id == (str(len(lines) - 1) if lines else '')
 
 
-def test_a_part_of_an_event_is_kept_back() -> None:
+def test_an_incomplete_event_is_buffered() -> None:
     splitter = events.Splitter()
     assert splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda') == [b'id: 1\ndata: a\n\n']
     assert splitter.has_rest
--- a/passpier/tests/core/fingerprints_tests.py
+++ b/passpier/tests/core/fingerprints_tests.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same one, and what does not."""
+"""Which requests have the same fingerprint."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 requests = st.tuples(texts, texts, texts, texts, st.binary(max_size=8))
 
 
-def test_a_request_that_comes_again_has_the_same_fingerprint() -> None:
-    """It has over restarts, too: nothing in it is drawn."""
+def test_a_repeated_request_has_the_same_fingerprint() -> None:
+    """It stays the same across restarts, as nothing in it is random."""
     first = fingerprints.compute_fingerprint(*REQUEST)
     assert first == fingerprints.compute_fingerprint(*REQUEST)
     assert fingerprints.render_fingerprint(first) == '2f0cc2d4053f2bb0'
--- a/passpier/tests/core/layout_tests.py
+++ b/passpier/tests/core/layout_tests.py
@@ -1,4 +1,4 @@
-"""The core does no input or output and keeps no time or randomness of its own."""
+"""The core has no I/O, clock or random source of its own."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return names
 
 
-def test_core_imports_nothing_with_effects() -> None:
+def test_the_core_imports_no_modules_with_side_effects() -> None:
     for path in sorted((ROOT / 'core').glob('*.py')):
         top = {name.partition('.')[0] for name in list_imports(path)}
         allowed = {'random'} if path.name in RANDOM_TYPE_ONLY else set()
@@ -33,7 +33,7 @@
             assert source.count('random.') == source.count('random.Random'), path.name
 
 
-def test_nothing_but_tests_imports_the_stand_ins() -> None:
+def test_only_tests_import_the_stand_ins() -> None:
     for path in sorted(ROOT.rglob('*.py')):
         if path.is_relative_to(ROOT / 'standins') or path.is_relative_to(ROOT / 'tests'):
             continue
--- a/passpier/tests/core/prompts_tests.py
+++ b/passpier/tests/core/prompts_tests.py
@@ -1,4 +1,4 @@
-"""Identities of prompt parts: walls between accounts, families, sizes."""
+"""Hashes of prompt parts: isolation of accounts, families, sizes."""
 
 from __future__ import annotations
 
@@ -15,25 +15,26 @@
 
 OPEN = routes.Account('open', ())
 ALSO_OPEN = routes.Account('also-open', ())
-WALLED = routes.Account('walled', (), isolated=True)
-ALSO_WALLED = routes.Account('also-walled', (), isolated=True)
+ISOLATED = routes.Account('walled', (), isolated=True)
+ALSO_ISOLATED = routes.Account('also-walled', (), isolated=True)
 
 
 @hypothesis.given(parts)
-def test_isolated_accounts_share_nothing(given: tuple[prompts.Part, ...]) -> None:
-    prompt = prompts.Prompt('m', given)
+def test_isolated_accounts_share_nothing(prompt_parts: tuple[prompts.Part, ...]) -> None:
+    prompt = prompts.Prompt('m', prompt_parts)
     chains = [
-        set(prompts.build_job(prompt, account, 1).chain) for account in (OPEN, WALLED, ALSO_WALLED)
+        set(prompts.build_job(prompt, account, 1).chain)
+        for account in (OPEN, ISOLATED, ALSO_ISOLATED)
     ]
     assert not chains[0] & chains[1]
     assert not chains[1] & chains[2]
     assert chains[0] == set(prompts.build_job(prompt, ALSO_OPEN, 1).chain)
 
 
-def test_salts_keep_accounts_models_and_versions_apart() -> None:
+def test_salts_differ_by_account_model_and_version() -> None:
     salts = {
         prompts.render_salt(account, model, version)
-        for account in (OPEN, WALLED, ALSO_WALLED)
+        for account in (OPEN, ISOLATED, ALSO_ISOLATED)
         for model in ('m', 'n')
         for version in ('1', '2')
     }
@@ -43,7 +44,7 @@
 
 
 @hypothesis.given(parts, parts)
-def test_a_match_is_a_common_beginning(
+def test_a_match_is_a_common_prefix(
     held: tuple[prompts.Part, ...], asked: tuple[prompts.Part, ...]
 ) -> None:
     cache = view.CacheView()
@@ -61,8 +62,8 @@
     assert job.count_tokens(match.blocks) == sum(p.tokens for p in asked[:common])
 
 
-def test_a_family_is_the_last_shared_part_whatever_the_version() -> None:
-    given = (prompts.Part('base', 10), prompts.Part('station', 20), prompts.Part('own', 5))
-    assert prompts.get_family(prompts.Prompt('m', given)) == 'station'
-    assert prompts.get_family(prompts.Prompt('m', given[:1])) == 'base'
+def test_a_family_is_the_last_shared_part() -> None:
+    prompt_parts = (prompts.Part('base', 10), prompts.Part('station', 20), prompts.Part('own', 5))
+    assert prompts.get_family(prompts.Prompt('m', prompt_parts)) == 'station'
+    assert prompts.get_family(prompts.Prompt('m', prompt_parts[:1])) == 'base'
     assert prompts.get_family(prompts.Prompt('m', ())) == ''
--- a/passpier/tests/core/rates_tests.py
+++ b/passpier/tests/core/rates_tests.py
@@ -1,4 +1,4 @@
-"""Rates of events, and which daemons callers are sent to by them."""
+"""Event rates, and the active daemons chosen by them."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
         assert count <= meter.read(float(second)) <= max(counts)
 
 
-def test_few_large_vms_of_each_domain_are_used() -> None:
+def test_a_few_large_vms_per_domain_are_active() -> None:
     serving = [make_member(n, f'd{n % 2}', 2.0 if n < 4 else 0.5) for n in range(40)]
     active = entries.choose_active(serving, {})
     assert len(active) == 2 * entries.LEAST_ACTIVE
     assert {f'vm-{n}' for n in range(4)} <= {m.name for m in active}
 
 
-def test_more_vms_are_used_as_requests_grow() -> None:
+def test_more_vms_become_active_with_the_request_rate() -> None:
     serving = [make_member(n, 'd0') for n in range(40)]
     busy = {m.incarnation: entries.REQUESTS_PER_CORE / 4 for m in serving}
     assert len(entries.choose_active(serving, busy)) == 10
@@ -50,7 +50,7 @@
 
 
 @hypothesis.given(st.integers(1, 60), st.integers(0, 59))
-def test_the_next_one_steps_in_for_a_lost_one(size: int, lost: int) -> None:
+def test_a_lost_daemon_is_replaced_by_the_next_one(size: int, lost: int) -> None:
     serving = [make_member(n, 'd0') for n in range(size)]
     before = entries.choose_active(serving, {})
     rest = [m for m in serving if m.name != f'vm-{lost}']
@@ -59,7 +59,7 @@
     assert len(set(before) - set(after)) <= 1
 
 
-def test_an_answer_names_no_more_than_callers_take() -> None:
+def test_the_number_of_listed_entries_is_limited() -> None:
     serving = [make_member(n, f'd{n}') for n in range(100)]
-    named = entries.choose_near(entries.choose_active(serving, {}), 'd5')
-    assert len(named) == entries.MOST_NAMED
+    listed = entries.choose_near(entries.choose_active(serving, {}), 'd5')
+    assert len(listed) == entries.MAX_LISTED
--- a/passpier/tests/core/routes_tests.py
+++ b/passpier/tests/core/routes_tests.py
@@ -1,4 +1,4 @@
-"""Routes by host and path prefix, keys, splits."""
+"""Routes by host and path prefix, keys and traffic shares."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 def test_the_longest_prefix_wins(prefixes: list[list[str]], path: list[str]) -> None:
     made = [make_route('h', '/' + ''.join(s + '/' for s in p)) for p in prefixes]
     asked = '/' + ''.join(s + '/' for s in path) + 'x'
-    fitting = [r for r in made if asked.startswith(r.prefix)]
-    expected = max(fitting, key=lambda r: len(r.prefix), default=None)
+    matching = [r for r in made if asked.startswith(r.prefix)]
+    expected = max(matching, key=lambda r: len(r.prefix), default=None)
     assert make_table(*made).find_route('H', asked) == expected
 
 
-def test_other_hosts_have_other_routes() -> None:
+def test_routes_apply_to_their_host_only() -> None:
     table = make_table(make_route('a', '/x/'))
     assert table.find_route('b', '/x/y') is None
     assert table.find_route('a', '/xy') is None
@@ -49,7 +49,7 @@
     assert table.find_account('a') is None
 
 
-def test_a_split_follows_its_weights_and_is_stable() -> None:
+def test_traffic_is_split_by_weight_and_stable() -> None:
     route = make_route('h', '/', ('big', 90), ('small', 10))
     table = make_table(route)
     drawn = collections.Counter(table.choose_service(route, str(n)) for n in range(2000))
@@ -63,7 +63,7 @@
     assert {table.choose_service(route, str(n)) for n in range(200)} == {'new'}
 
 
-def test_kinds_say_what_may_be_done_again() -> None:
+def test_repeatable_kinds() -> None:
     assert routes.Kind.REPEATABLE.is_repeatable
     assert routes.Kind.RESUMABLE_STREAM.is_repeatable
     assert not routes.Kind.STREAM.is_repeatable
--- a/passpier/tests/core/streams_tests.py
+++ b/passpier/tests/core/streams_tests.py
@@ -1,4 +1,4 @@
-"""A stream is delivered in order and whole, or does not end as whole."""
+"""A stream is delivered in order and completely, or is not reported as complete."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class TrustingTracker(streams.Tracker):
-    """Broken variant: does not look at the attempt's id."""
+    """Broken variant: doesn't check the attempt id."""
 
     def check(self, attempt: str, sequence: int, final: bool) -> streams.Verdict:
         return super().check(self.attempt, sequence, final)
 
 
 class LenientTracker(streams.Tracker):
-    """Broken variant: takes a chunk after a gap."""
+    """Broken variant: accepts a chunk after a gap."""
 
     def check(self, attempt: str, sequence: int, final: bool) -> streams.Verdict:
         verdict = super().check(attempt, sequence, final)
@@ -48,7 +48,7 @@
 
 @MANY
 @hypothesis.given(CHUNKS)
-def test_delivery_is_in_order_and_own(chunks: list[tuple[str, int, bool]]) -> None:
+def test_chunks_of_the_attempt_are_delivered_in_order(chunks: list[tuple[str, int, bool]]) -> None:
     check_delivery(streams.Tracker, chunks)
 
 
