--- a/passpier/routing/dialect.py
+++ b/passpier/routing/dialect.py
@@ -1,4 +1,4 @@
-"""What an adapter translates between a platform's wire and the router's own types."""
+"""Interfaces through which a platform adapter translates its wire formats to the router's types."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Ask(msgspec.Struct, frozen=True):
-    """A client's request as far as the router reads it; times are in seconds."""
+    """A client's request as far as the router parses it; times are in seconds."""
 
     id: str
     method: str
@@ -22,15 +22,15 @@
     target: str
     key: str | None
     patience: float | None
-    """How long the client still waits, if it says so."""
+    """How long the client will wait, if it says so."""
 
     prompt: prompts.Prompt | None
     last_event: str
     headers: exchanges.Headers
-    """What travels on to the upstream unchanged."""
+    """The headers that are forwarded to the upstream unchanged."""
 
     tokens: int | None = None
-    """Tokens of the prompt and the most of the answer, as the client states them, if it does."""
+    """The prompt's tokens plus the maximum of the response, if the client states them."""
 
     @property
     def path(self) -> str:
@@ -48,12 +48,14 @@
     priority: int | None
     salt: str
     source: str
+    """The address to fetch cached prompt parts from, if any."""
     target: str
+    """The address to save computed prompt parts to, if any."""
     last_event: str
 
 
 class Verdict(enum.Enum):
-    """What the head of an upstream's answer says."""
+    """How the head of an upstream's response is classified."""
 
     SUCCESS = 'success'
     FAILURE = 'failure'
@@ -63,76 +65,77 @@
     """The upstream says that it did not run the request."""
 
     WRONG_UPSTREAM = 'wrong_upstream'
-    """Another incarnation, or other weights, than was asked for; not run."""
+    """Another incarnation or weight version than requested; not run."""
 
     INVALID = 'invalid'
-    """No sound answer; the request may have run."""
+    """A malformed response; the request may have run."""
 
 
 class Dialect(Protocol):
-    """Requests and answers."""
+    """Translates requests and responses."""
 
     id_header: str
 
     def read_request(
         self, start: tornado.httputil.RequestStartLine, headers: tornado.httputil.HTTPHeaders
     ) -> Ask:
-        """Return a client's request; raises `ValueError` saying what is wrong."""
+        """Return a client's request; raises `ValueError` with the reason if it is invalid."""
 
     def write_request(self, ask: Ask, sending: Sending) -> exchanges.Headers:
         """Return the headers of one attempt."""
 
     def judge(self, head: exchanges.Head) -> Verdict:
-        """Return what the head of an answer says."""
+        """Classify the head of a response."""
 
     def read_version(self, head: exchanges.Head) -> str:
-        """Return the weight version that an answer was made with, or an empty string."""
+        """Return the weight version that produced a response, or an empty string."""
 
     def read_incarnation(self, head: exchanges.Head) -> str:
-        """Return which incarnation an upstream says that it is, or an empty string."""
+        """Return the incarnation that an upstream reports as its own, or an empty string."""
 
     def read_signal(self, head: exchanges.Head) -> backpressure.Signal:
-        """Return what an upstream asks of its callers."""
+        """Return the backpressure signal in a response."""
 
     def clean_answer(self, headers: exchanges.Headers) -> list[tuple[str, str]]:
-        """Return the headers of an answer that travel on to the client."""
+        """Return the headers of a response that are forwarded to the client."""
 
 
 class Report(msgspec.Struct, frozen=True):
-    """A replica's own account of itself; `orders` counts those its process has taken."""
+    """A replica's own report on its state; `orders` is the number its process has accepted."""
 
     versions: Mapping[str, int]
     ordered: bool
+    """Whether an order is still being carried out."""
     orders: int
     running: int
     waiting: int
     born: int | None = None
-    """When its process started, in Unix milliseconds; none if it does not tell."""
+    """When its process started, in Unix milliseconds; none if it doesn't say."""
 
     signal: backpressure.Signal = backpressure.NO_SIGNAL
-    """What it asks of its callers."""
+    """Its backpressure signal."""
 
 
 class OrderResult(enum.Enum):
-    """How a replica took an order."""
+    """How a replica responded to an order."""
 
     TAKEN = 'taken'
     HOLDS = 'holds'
-    """The wanted state holds already."""
+    """The replica already has the ordered weights."""
 
     BUSY = 'busy'
-    """Another order is under way, or others were taken since."""
+    """Another order is in progress, or others were accepted since."""
 
     REFUSED = 'refused'
     REPLACED = 'replaced'
-    """Another incarnation is at the address."""
+    """Another incarnation has the address."""
 
     UNKNOWN = 'unknown'
-    """No answer; the order may be carried out yet."""
+    """No response; the order may still be carried out."""
 
 
 class WeightOrder(msgspec.Struct, frozen=True):
-    """An order to load weights, given under a fencing token."""
+    """An order to load weights, with a fencing token."""
 
     incarnation: str
     model: str
@@ -143,11 +146,11 @@
 
 
 ASK_TIMEOUT = 0.4
-"""Seconds in which a replica has to answer a question about itself; it takes milliseconds."""
+"""Seconds in which a replica must return a report; it takes milliseconds."""
 
 
 class CacheChange(msgspec.Struct, frozen=True):
-    """A part that a cache took or dropped."""
+    """A part that was added to a cache or removed from it."""
 
     added: bool
     salt: str
@@ -164,23 +167,23 @@
 
 
 class Engines(Protocol):
-    """Calls to replicas beside requests."""
+    """Calls to replicas other than client requests."""
 
     async def report(self, address: str, incarnation: str) -> Report:
         """Return a replica's report within `ASK_TIMEOUT`; raises `ExchangeError`.
 
-        A replica of a plain service, which has none, gives an empty one.
+        A replica of a plain service, which has no reports, returns an empty one.
         """
 
     async def read_cache_changes(self, address: str, since: int, wait: float) -> CacheChanges:
         """Return a cache's events from number `since`; raises `ExchangeError`."""
 
     async def order(self, address: str, order: WeightOrder) -> OrderResult:
-        """Give an order."""
+        """Send an order."""
 
 
 class Records(Protocol):
-    """The registry's records; each method raises `StoreError` for what it does not understand."""
+    """Decodes registry records; each method raises `StoreError` for an invalid one."""
 
     configuration_key: str
     version_prefix: str
@@ -194,18 +197,18 @@
         """Return a replica's entry."""
 
     def decode_named_version(self, data: bytes) -> tuple[str, int]:
-        """Return a model and its wanted weight version."""
+        """Return a model and its released weight version."""
 
 
 class Options(msgspec.Struct, frozen=True):
-    """What a router process is told at its start; times are in seconds."""
+    """Settings of a router process; times are in seconds."""
 
     name: str
     ip: str
     failure_domain: str
     region: str
     capacity: float
-    """Processor cores that the VM gives to this process."""
+    """Processor cores that the VM grants this process."""
 
     caller: str
     ready: str
@@ -224,26 +227,26 @@
     retry_slack: float
     retry_window: float
     rate_tolerance: buckets.Tolerance
-    """What accounts may spend beyond their rates."""
+    """What accounts may spend above their rates."""
 
     metrics_port: int
 
 
 class Query(msgspec.Struct, frozen=True):
-    """A client's question where to connect."""
+    """A client's question to which address it should connect."""
 
     region: str
     failure_domain: str
 
 
 class Directory(Protocol):
-    """How clients ask where to go, and the platform whether a process is ready."""
+    """Tells clients where to connect, and the platform whether a process is ready."""
 
     directory_path: str
     ready_path: str
 
     def read_query(self, request: tornado.httputil.HTTPServerRequest) -> Query:
-        """Return what a client says of itself."""
+        """Return what a client says about itself."""
 
     def render_entries(self, addresses: Sequence[str], ttl: float) -> dict[str, object]:
-        """Return the body of the answer."""
+        """Return the body of the response."""
--- a/passpier/routing/following.py
+++ b/passpier/routing/following.py
@@ -1,4 +1,4 @@
-"""Follows the registry: reads all of it once, then watches for changes while it is its turn."""
+"""Follows the registry: one full read, then watches for changes while this process is a reader."""
 
 from __future__ import annotations
 
@@ -14,101 +14,104 @@
 log = logging.getLogger(__name__)
 
 RETRY_BASE = 0.1
-"""Seconds before a failed call is made again; doubled up to `RETRY_MAX`."""
+"""Seconds before a failed call is retried; doubled up to `RETRY_MAX`."""
 
 RETRY_MAX = 0.4
 RETRY_SHARED_MAX = 2.0
-"""Seconds before a failed call is made again by one of many that all fall back on reading."""
+"""Maximum seconds before a retry by one of many processes that all fall back to reading."""
 
-TURN_CHECK = 0.25
-"""Seconds between looks at whether this process should read."""
+ROLE_CHECK_INTERVAL = 0.25
+"""Seconds between checks whether this process should read."""
 
-TURN_CHECK_MIN = 0.02
-"""Seconds between such looks at the least, when the time to fall back on reading is near."""
+ROLE_CHECK_MIN = 0.02
+"""Minimum number of seconds between these checks, when the fallback is near."""
 
-GATHER_PAUSE = 0.1
-"""Seconds after a change before the next watch: what changes meanwhile comes in one answer."""
+BATCH_DELAY = 0.1
+"""Seconds between a change and the next watch, so that further changes come in one answer."""
 
-EVERYTHING = ''
+ALL_KEYS = ''
 """Prefix of all keys."""
 
 
-class Follower:
+class RegistryFollower:
     """Keeps a `Knowledge` up to date."""
 
     def __init__(
         self,
         source: registry.Registry,
-        known: knowledge.Knowledge,
+        registry_state: knowledge.Knowledge,
         relay: relaying.Relay,
         rng: random.Random,
     ) -> None:
         self._source = source
-        self._known = known
+        self._registry_state = registry_state
         self._relay = relay
         self._rng = rng
         self._failures = 0
-        self._whole = True
+        self._needs_full_read = True
         self.reachable = False
-        """Whether this process reads the registry and got an answer the last time."""
+        """Whether this process reads the registry and its last call was answered."""
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the registry until cancelled."""
         while True:
             now = clocks.now()
             if not self._relay.should_read(now):
                 self.reachable = False
                 self._failures = 0
-                patience = self._relay.compute_patience(now)
-                await asyncio.sleep(min(TURN_CHECK, max(TURN_CHECK_MIN, patience)))
+                fallback_delay = self._relay.compute_fallback_delay(now)
+                await asyncio.sleep(min(ROLE_CHECK_INTERVAL, max(ROLE_CHECK_MIN, fallback_delay)))
                 continue
             try:
                 await self._step()
             except registry.HistoryGoneError as error:
-                log.warning('history gone, reading all again', extra={'error': str(error)})
-                self._whole = True
+                log.warning(
+                    'registry history compacted, reading everything again',
+                    extra={'error': str(error)},
+                )
+                self._needs_full_read = True
             except exceptions.StoreError as error:
                 await self._note_failure(error)
 
     async def _step(self) -> None:
         """Read everything, or watch once."""
-        if self._whole:
-            reading = await self._source.read(EVERYTHING)
-            self._known.take_reading(reading, clocks.now())
-            self._whole = False
+        if self._needs_full_read:
+            reading = await self._source.read(ALL_KEYS)
+            self._registry_state.apply_listing(reading, clocks.now())
+            self._needs_full_read = False
             self._note_answer()
             return
-        wait = self._known.freshness.choose_wait(clocks.now(), self._rng.random())
-        changes = await self._source.watch(EVERYTHING, self._known.revision, wait)
+        wait = self._registry_state.freshness.choose_wait(clocks.now(), self._rng.random())
+        changes = await self._source.watch(ALL_KEYS, self._registry_state.revision, wait)
         now = clocks.now()
-        self._known.take_changes(changes, wait, now)
-        self._known.expire(now)
+        self._registry_state.take_changes(changes, wait, now)
+        self._registry_state.expire(now)
         self._note_answer()
         if changes.items:
-            await asyncio.sleep(GATHER_PAUSE)
+            await asyncio.sleep(BATCH_DELAY)
 
     def _note_answer(self) -> None:
         if not self.reachable:
             self.reachable = True
             log.info(
-                'registry reached',
-                extra={'revision': self._known.revision, 'failures': self._failures},
+                'registry reachable',
+                extra={'revision': self._registry_state.revision, 'failures': self._failures},
             )
             if self._failures:
-                self._known.catalogue.note_disturbance(clocks.now())
+                self._registry_state.catalogue.note_disturbance(clocks.now())
         self._failures = 0
 
     async def _note_failure(self, error: exceptions.StoreError) -> None:
         now = clocks.now()
-        self._known.catalogue.note_disturbance(now)
+        self._registry_state.catalogue.note_disturbance(now)
         self._failures += 1
         if self.reachable or self._failures == 1:
             self.reachable = False
             log.warning(
-                'registry lost',
+                'registry unreachable',
                 extra={
                     'error': str(error),
-                    'age': round(self._known.freshness.compute_age(now), 3),
+                    'age': round(self._registry_state.freshness.compute_age(now), 3),
                 },
             )
         pause = retries.compute_backoff(self._failures, self._rng, RETRY_BASE, RETRY_MAX)
--- a/passpier/routing/forwarding.py
+++ b/passpier/routing/forwarding.py
@@ -1,4 +1,4 @@
-"""Carries one request to an upstream and its answer back: attempts, outcomes, streams."""
+"""Forwards requests to upstreams and answers to clients, with retries and resumption of streams."""
 
 from __future__ import annotations
 
@@ -38,65 +38,65 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TRIES = 3
-"""Connections tried for one send; nothing has reached an upstream until one stands."""
+"""Connections tried for one attempt; nothing reaches an upstream before one is established."""
 
 ATTEMPT_SHARE = 0.4
-"""Part of the time left that an attempt may take before its head, if another may follow."""
+"""Fraction of the time left that an attempt may take until its head, if another may follow."""
 
 EVENT_GAP_MIN = 1.0
-"""Seconds without an event after which a stream that can move is taken from its replica."""
+"""Minimum gap between events, in seconds, after which a stream may be moved to another replica."""
 
 EVENT_GAP_FACTOR = 2.0
-"""The same, in multiples of the longest pause that the route allows."""
+"""The same, as a multiple of the longest gap that the route allows."""
 
 RETRY_AFTER = 0.25
-"""Seconds after which a refused client should come back, where nothing better is known."""
+"""Seconds after which a refused client should retry, where nothing better is known."""
 
 RETRY_AFTER_FAILURE = 0.1
-"""The same, where another replica may do better at once."""
+"""The same, where another replica may succeed at once."""
 
 RETRY_AFTER_STOPPING = 0.02
-"""The same, where this process stops: the client goes to another one."""
+"""The same, where this process is stopping and the client will reach another one."""
 
 
-class _WithheldError(Exception):
-    """Nothing was sent, since the client's key may have been taken away unseen."""
+class _UnverifiedKeyError(Exception):
+    """The request was not sent, because the client's key may have been revoked meanwhile."""
 
 
 class Forwarder:
-    """Runs admitted requests."""
+    """Forwards admitted requests."""
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
-        places: dispatcher.Dispatcher,
+        registry_state: knowledge.Knowledge,
+        request_dispatcher: dispatcher.Dispatcher,
         pool: connections.Pool,
         wire: dialect.Dialect,
         counters: metrics.Metrics,
         options: dialect.Options,
         prober: probing.Prober,
         shared: sharing.Sharing,
-        under_suspicion: suspects.Suspects,
-        limiter: limiting.Limiter,
+        suspect_tracker: suspects.Suspects,
+        limiter: limiting.RateLimiter,
     ) -> None:
         self.limiter = limiter
         self.prober = prober
-        self.suspects = under_suspicion
+        self.suspects = suspect_tracker
         self.sharing = shared
-        self.known = known
-        self.pools = known.pools
-        self.dispatcher = places
+        self.registry_state = registry_state
+        self.pools = registry_state.pools
+        self.dispatcher = request_dispatcher
         self.pool = pool
         self.wire = wire
         self.counters = counters
         self.options = options
         self.daemons = 1
-        """Daemons that share the budget of retries; never counted down."""
+        """Processes that share the retry budget; never decreases."""
 
         self._budgets: dict[str, retries.SharedBudget] = collections.defaultdict(self._build_budget)
 
     def reload(self, options: dialect.Options) -> None:
-        """Take over changed bounds."""
+        """Apply changed settings."""
         self.options = options
         for budget in self._budgets.values():
             budget.configure(options.retry_ratio, options.retry_slack, options.retry_window)
@@ -106,16 +106,16 @@
         return retries.SharedBudget(options.retry_ratio, options.retry_slack, options.retry_window)
 
     def get_budget(self, service: str) -> retries.SharedBudget:
-        """Return the retries of a service."""
+        """Return the retry budget of a service."""
         return self._budgets[service]
 
-    def begin(self, admitted: requests.Admitted, client: answering.Client) -> Run:
-        """Return the life of a request that is to be run."""
-        return Run(self, admitted, client)
+    def begin(self, admitted: requests.Admitted, client: answering.Client) -> RequestRun:
+        """Return the execution of an admitted request, yet to be started."""
+        return RequestRun(self, admitted, client)
 
 
-class Run:
-    """The life of one request."""
+class RequestRun:
+    """The execution of one request."""
 
     def __init__(
         self, owner: Forwarder, admitted: requests.Admitted, client: answering.Client
@@ -124,14 +124,14 @@
         self._admitted = admitted
         self._client = client
         route = admitted.route
-        table = owner.known.table
+        table = owner.registry_state.table
         assert table is not None
         self._service = table.choose_service(route, admitted.ask.id)
         self._splitter = events.Splitter()
         self._splitter.last_id = admitted.ask.last_event
         self._call = requests.build_call(admitted, self._service)
         self._excluded: set[str] = set()
-        self._connects = 0
+        self._failed_connects = 0
         self.sent = False
         """Whether the current attempt has reached an upstream."""
 
@@ -143,8 +143,8 @@
         self._outcome = 'client_gone'
         self._stopping = False
         self._delivery = delivering.Delivery(client, owner.wire, admitted.ends_at)
-        self._last = lives.Life('')
-        """The process of the replica that the current or last attempt went to."""
+        self._last_process = lives.Life('')
+        """The replica process of the current or last attempt."""
 
     @property
     def id(self) -> str:
@@ -153,35 +153,35 @@
 
     @property
     def _fingerprint(self) -> str:
-        """The request's fingerprint as log lines show it."""
+        """The request's fingerprint as written to the log."""
         return fingerprints.render_fingerprint(self._admitted.fingerprint)
 
     @property
     def upstream(self) -> str:
-        """The id of the replica of the current attempt, or of the last one."""
-        return self._last.id
+        """The id of the replica of the current or last attempt."""
+        return self._last_process.id
 
     @property
     def ends_at(self) -> float:
-        """When the request's time is over."""
+        """The request's deadline."""
         return self._admitted.ends_at
 
     @property
     def final(self) -> bool:
-        """Whether the end of the answer is on its way to the client."""
+        """Whether the end of the answer is being sent to the client."""
         return self._delivery.final
 
     @property
-    def must_end(self) -> bool:
-        """Whether an upstream is at work on what must neither be repeated nor broken off."""
+    def must_complete(self) -> bool:
+        """Whether an upstream is running a request that may neither be repeated nor aborted."""
         return self.sent and self._admitted.route.kind is routes.Kind.ONCE
 
-    def note_stop(self) -> None:
-        """Note that the process ends: being cancelled now does not mean that the client left."""
+    def mark_stopping(self) -> None:
+        """Note that this process stops, so that a cancellation doesn't mean a lost client."""
         self._stopping = True
 
     async def run(self) -> None:
-        """Answer the request, one way or the other; raises `ClientGoneError`."""
+        """Answer the request in any case; raises `ClientGoneError`."""
         started = clocks.now()
         try:
             await self._answer()
@@ -191,25 +191,29 @@
         except asyncio.CancelledError:
             if not self._stopping:
                 raise
-            await self._end(503, 'stopping', 'this process stops', RETRY_AFTER_STOPPING)
+            await self._respond_directly(
+                503, 'stopping', 'this process stops', RETRY_AFTER_STOPPING
+            )
         finally:
             if not self.sent:
-                self._charge.give_back()
+                self._charge.refund()
             self._log_end(clocks.now() - started)
 
     async def _answer(self) -> None:
-        """Try until there is an answer or a reason why there is none."""
+        """Make attempts until there is an answer or a reason for having none."""
         budget = self._owner.get_budget(self._service)
         budget.note_request(self._call.arrived_at)
         while True:
             try:
                 if await self._attempt():
                     return
-            except _WithheldError:
-                await self._end(503, 'stale_configuration', 'keys may have changed', RETRY_AFTER)
+            except _UnverifiedKeyError:
+                await self._respond_directly(
+                    503, 'stale_configuration', 'keys may have changed', RETRY_AFTER
+                )
                 return
             except reading.AttemptError as error:
-                if not await self._go_on(error):
+                if not await self._handle_failure(error):
                     return
 
     def _log_end(self, seconds: float) -> None:
@@ -225,11 +229,11 @@
                 'outcome': self._outcome,
                 'ran': self._call.life.outcome.value,
                 'attempts': self._call.life.attempts,
-                'upstream': self._last.id,
-                'born': self._last.born,
+                'upstream': self._last_process.id,
+                'born': self._last_process.born,
                 'seconds': round(seconds, 4),
                 'configuration_age': round(
-                    self._owner.known.freshness.compute_age(clocks.now()), 3
+                    self._owner.registry_state.freshness.compute_age(clocks.now()), 3
                 ),
             },
         )
@@ -242,19 +246,23 @@
             raise answering.ClientGoneError
         judgement = self._owner.suspects.judge(self._admitted.fingerprint)
         if judgement.refused_for is not None:
-            await self._hold_back(judgement)
+            await self._refuse_suspect(judgement)
             return True
-        over_for = await self._charge.take(self.ends_at - clocks.now())
-        if over_for:
-            await self._end(429, 'over_limit', 'the account is at its limit', over_for)
+        retry_after = await self._charge.acquire(self.ends_at - clocks.now())
+        if retry_after:
+            await self._respond_directly(
+                429, 'over_limit', 'the account is at its limit', retry_after
+            )
             return True
         if judgement.is_suspect:
             call.policy = 'apart'
             call.job = msgspec.structs.replace(call.job, apart=self._fingerprint)
-        attempt = f'{call.id}-{call.life.attempts}.{self._connects}'
+        attempt = f'{call.id}-{call.life.attempts}.{self._failed_connects}'
         placement = await self._owner.dispatcher.place(call, attempt, self._excluded)
         if isinstance(placement, exceptions.Failure):
-            await self._end(503, placement.code.value, placement.message, placement.retry_after)
+            await self._respond_directly(
+                503, placement.code.value, placement.message, placement.retry_after
+            )
             return True
         try:
             await self._send(placement)
@@ -262,7 +270,8 @@
         except reading.AttemptError:
             raise
         except BaseException:
-            # The client has left or the process ends; what was sent may have run.
+            # The client has disconnected or this process stops; a request that was sent may have
+            # run.
             self._call.life.may_have_run |= self.sent
             raise
         finally:
@@ -270,39 +279,41 @@
 
     async def _send(self, placement: dispatcher.Placement) -> None:
         admitted = self._admitted
-        if not self._may_use_key():
-            raise _WithheldError
+        if not self._is_key_valid():
+            raise _UnverifiedKeyError
         time_left = admitted.ends_at - clocks.now()
         if time_left <= 0:
-            await self._end(503, 'no_time', 'no time was left for an attempt', RETRY_AFTER)
+            await self._respond_directly(
+                503, 'no_time', 'no time was left for an attempt', RETRY_AFTER
+            )
             return
-        known = self._owner.suspects
-        # Others may have told more of the request while it waited for its place.
-        judgement = await known.judge_finally(admitted.fingerprint)
+        suspects_seen = self._owner.suspects
+        # Peers may have reported the request as a suspect while it was queued.
+        judgement = await suspects_seen.judge_finally(admitted.fingerprint)
         if judgement.refused_for is not None:
-            await self._hold_back(judgement)
+            await self._refuse_suspect(judgement)
             return
-        self._last = placement.replica.life
-        known.begin(admitted.fingerprint, judgement, time_left)
+        self._last_process = placement.replica.life
+        suspects_seen.begin(admitted.fingerprint, judgement, time_left)
         try:
             await self._exchange(placement, time_left)
         finally:
-            known.end(admitted.fingerprint)
+            suspects_seen.end(admitted.fingerprint)
 
     async def _exchange(self, placement: dispatcher.Placement, time_left: float) -> None:
         admitted = self._admitted
         exchange = await self._open(placement, time_left)
         self.sent = True
         self._sent_at = clocks.now()
-        reader = reading.Reader(
+        reader = reading.ResponseReader(
             exchange,
             self._owner.prober,
-            self._last,
+            self._last_process,
             admitted.ends_at,
             self._call.life.repeatable,
         )
         try:
-            await self._relay(reader, placement)
+            await self._relay_response(reader, placement)
         finally:
             exchange.close()
 
@@ -326,18 +337,20 @@
         except exchanges.ExchangeError as error:
             self._call.life.attempts -= 1
             if error.fault is exchanges.Fault.WITHHELD:
-                raise self._explain_withheld() from error
-            self._owner.prober.suspect(replica.life, 0.0)
+                raise self._build_withheld_error() from error
+            self._owner.prober.probe(replica.life, 0.0)
             raise reading.AttemptError(attempts.Fault.NOT_CONNECTED, str(error)) from error
         except TimeoutError as error:
             self._call.life.attempts -= 1
             text = f'no connection for {admitted.ask.id} in time'
             raise reading.AttemptError(attempts.Fault.NOT_CONNECTED, text) from error
 
-    async def _relay(self, reader: reading.Reader, placement: dispatcher.Placement) -> None:
+    async def _relay_response(
+        self, reader: reading.ResponseReader, placement: dispatcher.Placement
+    ) -> None:
         head = await self._read_head(reader)
         now = clocks.now()
-        verdict = self._judge(head, placement)
+        verdict = self._process_head(head, placement)
         if verdict is dialect.Verdict.FAILURE:
             answer = await reader.read_whole()
             raise reading.AttemptError(attempts.Fault.FAILED, f'status {head.status}', answer)
@@ -347,37 +360,41 @@
         if self._admitted.route.kind.is_stream:
             await self._relay_events(reader, head)
         else:
-            await self._pass(await reader.read_whole())
+            await self._send_response(await reader.read_whole())
             self._outcome = 'answered'
         self._owner.pools.note_success(placement.replica.life)
         self._owner.suspects.note_well(self._admitted.fingerprint)
 
-    async def _read_head(self, reader: reading.Reader) -> exchanges.Head:
+    async def _read_head(self, reader: reading.ResponseReader) -> exchanges.Head:
         left = self._admitted.ends_at - clocks.now()
         life = self._call.life
         may_follow = life.repeatable and life.attempts < life.max_attempts
         wait = left * ATTEMPT_SHARE if may_follow else left
         return await reader.read_head(wait)
 
-    def _judge(self, head: exchanges.Head, placement: dispatcher.Placement) -> dialect.Verdict:
-        """Return what a head says; raise if it brings no answer; learn from all of them."""
+    def _process_head(
+        self, head: exchanges.Head, placement: dispatcher.Placement
+    ) -> dialect.Verdict:
+        """Classify the head of an answer and apply what it reports; raise if there is no answer."""
         verdict = self._owner.wire.judge(head)
-        known = self._owner.pools
+        upstreams = self._owner.pools
         life = placement.replica.life
         self._learn_signal(head, placement, verdict)
         version = self._owner.wire.read_version(head)
         if version.isdigit():
-            known.learn_version(life, int(version), 'answer')
+            upstreams.learn_version(life, int(version), 'answer')
         if verdict is dialect.Verdict.NOT_RUN:
-            known.pause(life, pauses.Pause.FULL, pools.PAUSE_FULL, f'status {head.status}')
+            upstreams.pause(life, pauses.Pause.FULL, pools.PAUSE_FULL, f'status {head.status}')
             raise reading.AttemptError(attempts.Fault.REFUSED, f'refused with status {head.status}')
         if verdict is dialect.Verdict.WRONG_UPSTREAM:
-            told = self._owner.wire.read_incarnation(head)
-            if told and told != placement.replica.incarnation:
-                known.note_replaced(life)
-                raise reading.AttemptError(attempts.Fault.REFUSED, f'{told} has the address now')
-            known.pause(life, pauses.Pause.FULL, pools.PAUSE_FULL, 'other weights')
-            self._owner.prober.note_other_weights(life, placement.replica.weight_version)
+            reported = self._owner.wire.read_incarnation(head)
+            if reported and reported != placement.replica.incarnation:
+                upstreams.mark_replaced(life)
+                raise reading.AttemptError(
+                    attempts.Fault.REFUSED, f'{reported} has the address now'
+                )
+            upstreams.pause(life, pauses.Pause.FULL, pools.PAUSE_FULL, 'other weights')
+            self._owner.prober.note_version_mismatch(life, placement.replica.weight_version)
             raise reading.AttemptError(attempts.Fault.REFUSED, 'other weights than asked for')
         if verdict is dialect.Verdict.INVALID:
             raise reading.AttemptError(
@@ -388,17 +405,17 @@
     def _learn_signal(
         self, head: exchanges.Head, placement: dispatcher.Placement, verdict: dialect.Verdict
     ) -> None:
-        """Learn what an answer asks for, unless another process gave it."""
+        """Apply the backpressure signal of an answer, unless another process gave it."""
         life = placement.replica.life
         if verdict is dialect.Verdict.WRONG_UPSTREAM:
-            told = self._owner.wire.read_incarnation(head)
-            if told and told != placement.replica.incarnation:
+            reported = self._owner.wire.read_incarnation(head)
+            if reported and reported != placement.replica.incarnation:
                 return
         signal = self._owner.wire.read_signal(head)
         ran_since = self._sent_at if verdict is dialect.Verdict.SUCCESS else None
         self._owner.pools.learn_signal(life, signal, ran_since)
 
-    async def _relay_events(self, reader: reading.Reader, head: exchanges.Head) -> None:
+    async def _relay_events(self, reader: reading.ResponseReader, head: exchanges.Head) -> None:
         splitter = events.Splitter()
         splitter.last_id = self._splitter.last_id
         self._splitter = splitter
@@ -412,10 +429,11 @@
         await self._delivery.finish_stream(head)
         self._outcome = 'answered'
 
-    async def _read_part(self, reader: reading.Reader) -> bytes | None:
+    async def _read_part(self, reader: reading.ResponseReader) -> bytes | None:
         """Return the next part of a stream; raises `AttemptError`.
 
-        A replica that pauses is left only if another one can go on: its next event may still come.
+        A stream is taken from a stalled replica only if another one can resume it, since the next
+        event may still come.
         """
         life = self._call.life
         can_move = life.continuable and life.delivered > 0
@@ -425,13 +443,16 @@
             wait = min(left, gap) if can_move else left
             try:
                 return await reader.read_part(wait)
-            except reading.PauseError:
-                if wait == left or self._can_go_on():
+            except reading.StalledError:
+                if wait == left or self._can_move_stream():
                     raise
-                log.info('slow stream kept', extra={'request': self.id, 'upstream': self.upstream})
+                log.info(
+                    'slow stream not moved, no other replica available',
+                    extra={'request': self.id, 'upstream': self.upstream},
+                )
 
-    def _can_go_on(self) -> bool:
-        """Return whether another replica could take up the stream now."""
+    def _can_move_stream(self) -> bool:
+        """Return whether another replica could resume the stream now."""
         life = self._call.life
         budget = self._owner.get_budget(self._service)
         return (
@@ -440,32 +461,32 @@
             and self._owner.dispatcher.has_place(self._call, {*self._excluded, self.upstream})
         )
 
-    async def _pass(self, answer: exchanges.Answer) -> None:
-        """Hand an upstream's whole answer on."""
+    async def _send_response(self, answer: exchanges.Answer) -> None:
+        """Send an upstream's complete answer to the client."""
         self._call.life.completed = True
         await self._delivery.send_whole(answer)
 
-    async def _go_on(self, error: reading.AttemptError) -> bool:
+    async def _handle_failure(self, error: reading.AttemptError) -> bool:
         """Decide what follows a failed attempt; return whether there is another one."""
         life = self._call.life
         now = clocks.now()
         if error.fault is not attempts.Fault.REFUSED:
-            self._owner.pools.note_failure(self._last)
+            self._owner.pools.note_failure(self._last_process)
         if error.fault in attempts.NOT_RUN_FAULTS:
             self.sent = False
         else:
-            self._charge.note_spent()
-        if error.broken_off and not self._owner.pools.has_left(self._last):
-            self._owner.suspects.note_broken(self._admitted.fingerprint, self._last)
+            self._charge.mark_spent()
+        if error.broken_off and not self._owner.pools.is_exit_expected(self._last_process):
+            self._owner.suspects.note_broken(self._admitted.fingerprint, self._last_process)
         has_time = now < self._admitted.ends_at
         step = attempts.Step.FAIL
         if error.fault is attempts.Fault.NOT_CONNECTED:
-            self._connects += 1
-            if has_time and self._connects < CONNECT_TRIES:
+            self._failed_connects += 1
+            if has_time and self._failed_connects < CONNECT_TRIES:
                 step = attempts.Step.RETRY
         else:
             step = life.decide(error.fault, has_time)
-            if step is not attempts.Step.FAIL and not self._spend(now):
+            if step is not attempts.Step.FAIL and not self._spend_retry(now):
                 step = attempts.Step.FAIL
         self._owner.counters.retries.inc({'step': step.value})
         log.info(
@@ -473,8 +494,8 @@
             extra={
                 'request': self._call.id,
                 'fingerprint': self._fingerprint,
-                'upstream': self._last.id,
-                'born': self._last.born,
+                'upstream': self._last_process.id,
+                'born': self._last_process.born,
                 'fault': error.fault.value,
                 'detail': str(error),
                 'step': step.value,
@@ -484,27 +505,28 @@
             },
         )
         if step is attempts.Step.FAIL:
-            await self._fail(error)
+            await self._respond_failure(error)
             return False
-        self._excluded.add(self._last.id)
-        self._call.hold_until = self._choose_hold(now)
+        self._excluded.add(self._last_process.id)
+        self._call.hold_until = self._choose_hold_deadline(now)
         return True
 
-    def _choose_hold(self, now: float) -> float:
-        """Return until when the request may wait for its next place.
+    def _choose_hold_deadline(self, now: float) -> float:
+        """Return until when the request may be queued for its next replica.
 
-        The time before its first attempt is over; whoever has half an answer waits for the rest.
+        The queueing time of the first attempt is used up. A client with half an answer waits for
+        the rest until the deadline.
         """
         ends_at = self._admitted.ends_at
         if self._call.life.delivered:
             return ends_at
         return min(ends_at, now + self._admitted.route.objective * requests.HOLD_SHARE)
 
-    async def _hold_back(self, judgement: crashes.Judgement) -> None:
-        """Refuse a request that has ended replicas, before it reaches another one."""
+    async def _refuse_suspect(self, judgement: crashes.Judgement) -> None:
+        """Refuse a request that has crashed replicas, before it reaches another one."""
         assert judgement.refused_for is not None
         log.info(
-            'request held back',
+            'suspect request refused',
             extra={
                 'request': self._call.id,
                 'fingerprint': self._fingerprint,
@@ -513,54 +535,56 @@
                 'refused_for': round(judgement.refused_for, 3),
             },
         )
-        await self._end(503, 'suspected', judgement.reason, judgement.retry_after)
+        await self._respond_directly(503, 'suspected', judgement.reason, judgement.retry_after)
 
-    def _spend(self, now: float) -> bool:
+    def _spend_retry(self, now: float) -> bool:
         budget = self._owner.get_budget(self._service)
         return budget.spend(now, self._owner.daemons)
 
-    async def _fail(self, error: reading.AttemptError) -> None:
-        """Give the final answer of a request that has none from an upstream."""
+    async def _respond_failure(self, error: reading.AttemptError) -> None:
+        """Send the final answer of a request whose attempts have all failed."""
         if error.passed is not None and not self._client.started:
             self._outcome = 'upstream_failed'
-            await self._pass(error.passed)
+            await self._send_response(error.passed)
             return
         status = 503
         if self._call.life.outcome is not exceptions.Outcome.NOT_RUN:
             status = 504 if clocks.now() >= self._admitted.ends_at else 502
         retry_after = RETRY_AFTER_FAILURE if status == 503 else None
-        await self._end(status, error.fault.value, str(error), retry_after)
+        await self._respond_directly(status, error.fault.value, str(error), retry_after)
 
-    async def _end(self, status: int, reason: str, message: str, retry_after: float | None) -> None:
-        """Give an answer of our own, as far as the state of the request allows it."""
+    async def _respond_directly(
+        self, status: int, reason: str, message: str, retry_after: float | None
+    ) -> None:
+        """Send an answer of the router itself, as far as the state of the request allows one."""
         if self._client.started:
             self._outcome = 'stream_cut'
             self._client.abort()
             return
         if self._call.life.outcome is not exceptions.Outcome.NOT_RUN and status in (429, 503):
-            # These would promise that the request has not run.
+            # These status codes would assert that the request has not run.
             status, retry_after = 502, None
         self._outcome = reason
         refusal = answering.Refusal(status, reason, message, retry_after)
         await self._delivery.send_refusal(refusal, self._call.id)
 
     def _may_send(self, placement: dispatcher.Placement) -> bool:
-        """Return whether the request may go out, asked right before its first byte does."""
-        if self._client.gone or not self._may_use_key():
+        """Return whether the request may be sent; checked just before its first byte."""
+        if self._client.gone or not self._is_key_valid():
             return False
         return replicas.may_send(placement.replica, placement.attempt, clocks.now())
 
-    def _explain_withheld(self) -> Exception:
-        """Return why the request did not go out."""
+    def _build_withheld_error(self) -> Exception:
+        """Return the error for a request that was withheld."""
         if self._client.gone:
             return answering.ClientGoneError()
-        if not self._may_use_key():
-            return _WithheldError()
+        if not self._is_key_valid():
+            return _UnverifiedKeyError()
         text = 'the replica has asked for less since the request was placed'
         return reading.AttemptError(attempts.Fault.NOT_CONNECTED, text)
 
-    def _may_use_key(self) -> bool:
-        """Return whether the client's key is certainly still good."""
+    def _is_key_valid(self) -> bool:
+        """Return whether the client's key is certainly still valid."""
         if self._admitted.account is None or not self._owner.options.keys_expire:
             return True
-        return self._owner.known.freshness.is_fresh(clocks.now())
+        return self._owner.registry_state.freshness.is_fresh(clocks.now())
--- a/passpier/routing/history.py
+++ b/passpier/routing/history.py
@@ -1,4 +1,4 @@
-"""The registry's items as they are known, in a form that another process can be told of."""
+"""Keeps registry items and recent removals, so that changes can be sent to another process."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from passpier.clients import registry
 
-REMOVALS_KEPT = 2000
-"""Removed keys that are remembered; whoever lacks older removals is told everything."""
+MAX_REMOVALS = 2000
+"""Removed keys that are remembered; a peer that lacks older removals is sent all items."""
 
 
-class News(msgspec.Struct, frozen=True):
-    """What somebody who knows all up to a revision lacks.
+class ChangeSet(msgspec.Struct, frozen=True):
+    """The changes that a peer lacks whose state is complete up to a revision.
 
-    `whole` news hold all items there are: whatever is missing from them is gone.
+    If `whole`, these are all items that exist: keys that are missing from them have been removed.
     """
 
     items: tuple[registry.Item, ...]
@@ -23,7 +23,7 @@
 
 
 class History:
-    """All items, and the keys that were removed lately."""
+    """All current items, and the recently removed keys."""
 
     def __init__(self) -> None:
         self._items: dict[str, registry.Item] = {}
@@ -32,27 +32,27 @@
         """The revision from which on all removals are remembered."""
 
     def note(self, item: registry.Item) -> None:
-        """Take over an item or a removal."""
+        """Record an item or a removal."""
         self._removals.pop(item.key, None)
         if not item.removed:
             self._items[item.key] = item
             return
         self._items.pop(item.key, None)
         self._removals[item.key] = item.revision
-        while len(self._removals) > REMOVALS_KEPT:
+        while len(self._removals) > MAX_REMOVALS:
             _, revision = self._removals.popitem(last=False)
             self._complete_from = max(self._complete_from, revision)
 
     def begin(self, revision: int) -> None:
-        """Note that removals up to a revision may not be remembered, as after a whole reading."""
+        """Note that removals up to a revision may be missing, as after a full listing."""
         self._complete_from = max(self._complete_from, revision)
 
-    def list_since(self, revision: int) -> News:
-        """Return what somebody lacks who knows all up to a revision."""
+    def list_since(self, revision: int) -> ChangeSet:
+        """Return the changes that a peer lacks whose state is complete up to a revision."""
         if revision < self._complete_from:
-            return News(tuple(self._items.values()), True)
+            return ChangeSet(tuple(self._items.values()), True)
         items = [i for i in self._items.values() if i.revision > revision]
         for key, removed_at in self._removals.items():
             if removed_at > revision:
                 items.append(registry.Item(key, b'', removed_at, removed=True))
-        return News(tuple(items), False)
+        return ChangeSet(tuple(items), False)
--- a/passpier/routing/ingress.py
+++ b/passpier/routing/ingress.py
@@ -182,7 +182,7 @@
         self._body = bytearray()
         self._arrived_at = 0.0
         self._work: asyncio.Task[None] | None = None
-        self._run: forwarding.Run | None = None
+        self._run: forwarding.RequestRun | None = None
 
     def headers_received(
         self,
@@ -234,14 +234,14 @@
         )
         assert self._work is not None, 'what is under way has a task'
         if run is not None and not run.final:
-            run.note_stop()
+            run.mark_stopping()
             self._work.cancel()
         return self._work
 
     def _note_gone(self) -> None:
         if self._work is None or self._work.done():
             return
-        if self._run is not None and self._run.must_end:
+        if self._run is not None and self._run.must_complete:
             log.info('left to its end, client gone', extra={'request': self._run.id})
             return
         self._work.cancel()
--- a/passpier/routing/keeping.py
+++ b/passpier/routing/keeping.py
@@ -1,4 +1,4 @@
-"""Follows the shared cache stores: one process reads their events and tells the others."""
+"""Tracks what the shared cache stores hold: one process reads their events and tells the others."""
 
 from __future__ import annotations
 
@@ -16,108 +16,109 @@
 log = logging.getLogger(__name__)
 
 READ_INTERVAL = 0.3
-"""Seconds between two readings: a reading that need not wait for events is priced."""
+"""Seconds between two reads: a read that returns without waiting for events is billed."""
 
 STANDBY_INTERVAL = 0.6
-"""Seconds between looks at whether this process should read."""
+"""Seconds between checks whether this process should read."""
 
 READ_WAIT = 1.0
-"""Seconds that a reading may wait for events."""
+"""Maximum number of seconds for which a read waits for events."""
 
 FAILURES_TO_DOWN = 2
-"""Failed readings in a row after which the store counts as down."""
+"""Consecutive failed reads after which a store counts as down."""
 
 
-class _Reading(msgspec.Struct):
-    """How far the events of one store were read."""
+class _StoreReader(msgspec.Struct):
+    """How far the events of one store have been read."""
 
     next: int = 0
     failures: int = 0
     task: asyncio.Task[None] | None = None
 
 
-class Keeper:
-    """Keeps the view of the cache stores up to date."""
+class CacheStoreFollower:
+    """Keeps the view of the cache stores' contents up to date."""
 
     def __init__(
         self,
-        known: pools.Pools,
+        replica_pools: pools.Pools,
         engines: dialect.Engines,
-        members: roster.Roster,
+        router_roster: roster.Roster,
         link: peers.Peers,
         is_reader: Callable[[], bool],
     ) -> None:
-        self._pools = known
+        self._pools = replica_pools
         self._engines = engines
-        self._roster = members
+        self._roster = router_roster
         self._is_reader = is_reader
-        self._readings: dict[str, _Reading] = {}
-        link.handle(messages.Kept, self._take)
+        self._readers: dict[str, _StoreReader] = {}
+        link.handle(messages.Kept, self._handle_kept)
 
     async def run(self) -> None:
-        """Read while this process is the one that does, until cancelled."""
+        """Read events while this process is the reader, until cancelled."""
         try:
             while True:
                 reads = self._is_reader()
                 if reads:
-                    self._start_readings()
+                    self._start_reads()
                 await asyncio.sleep(READ_INTERVAL if reads else STANDBY_INTERVAL)
         finally:
-            for reading in self._readings.values():
-                if reading.task is not None:
-                    reading.task.cancel()
+            for reader in self._readers.values():
+                if reader.task is not None:
+                    reader.task.cancel()
 
-    def _start_readings(self) -> None:
-        """Read each store in a task of its own: a reading waits, and one store may be dark."""
+    def _start_reads(self) -> None:
+        """Read each store in a task of its own: reads wait, and a store may not respond."""
         for address in self._pools.stores.addresses:
-            reading = self._readings.setdefault(address, _Reading())
-            if reading.task is None or reading.task.done():
-                reading.task = asyncio.ensure_future(self._read(address, reading))
+            reader = self._readers.setdefault(address, _StoreReader())
+            if reader.task is None or reader.task.done():
+                reader.task = asyncio.ensure_future(self._read(address, reader))
 
-    async def _read(self, address: str, reading: _Reading) -> None:
+    async def _read(self, address: str, reader: _StoreReader) -> None:
         try:
-            told = await self._engines.read_cache_changes(address, reading.next, READ_WAIT)
+            batch = await self._engines.read_cache_changes(address, reader.next, READ_WAIT)
         except exchanges.ExchangeError as error:
-            self._note_failure(address, reading, str(error))
+            self._note_failure(address, reader, str(error))
             return
-        reading.failures = 0
-        known = self._pools.stores.get(address)
-        if known is None:
+        reader.failures = 0
+        store = self._pools.stores.get(address)
+        if store is None:
             return
-        if told.epoch != known.epoch:
-            log.info('cache store restarted', extra={'address': address, 'epoch': told.epoch})
-        if told.lost:
-            log.info('cache store events lost', extra={'address': address, 'next': told.next})
-        reading.next = told.next
-        added = [kept.identify(c.salt, c.part) for c in told.changes if c.added]
-        removed = [kept.identify(c.salt, c.part) for c in told.changes if not c.added]
-        message = messages.Kept(address, told.epoch, told.next, added, removed)
+        if batch.epoch != store.epoch:
+            log.info('cache store restarted', extra={'address': address, 'epoch': batch.epoch})
+        if batch.lost:
+            log.info('cache store events lost', extra={'address': address, 'next': batch.next})
+        reader.next = batch.next
+        added = [kept.identify(c.salt, c.part) for c in batch.changes if c.added]
+        removed = [kept.identify(c.salt, c.part) for c in batch.changes if not c.added]
+        message = messages.Kept(address, batch.epoch, batch.next, added, removed)
         self._apply(message)
-        if told.changes:
-            self._roster.tell_interested(message)
-
-    def _note_failure(self, address: str, reading: _Reading, error: str) -> None:
-        reading.failures += 1
-        if reading.failures == FAILURES_TO_DOWN:
-            log.warning('cache store lost', extra={'address': address, 'error': error})
-            message = messages.Kept(address, 0, reading.next, [], [])
+        if batch.changes:
+            self._roster.notify_serving(message)
+
+    def _note_failure(self, address: str, reader: _StoreReader, error: str) -> None:
+        reader.failures += 1
+        if reader.failures == FAILURES_TO_DOWN:
+            log.warning('cache store unreachable', extra={'address': address, 'error': error})
+            message = messages.Kept(address, 0, reader.next, [], [])
             self._apply(message)
-            self._roster.tell_interested(message)
+            self._roster.notify_serving(message)
 
-    def _take(self, sender: str, address: str, message: messages.Kept) -> None:
-        # Whoever reads next goes on from here: all that a store still tells of would fill a link.
-        self._readings.setdefault(message.store, _Reading()).next = message.next
+    def _handle_kept(self, sender: str, address: str, message: messages.Kept) -> None:
+        # The next reader continues from here: all events that a store still keeps would fill a
+        # link.
+        self._readers.setdefault(message.store, _StoreReader()).next = message.next
         self._apply(message)
 
     def _apply(self, message: messages.Kept) -> None:
-        known = self._pools.stores.get(message.store)
-        if known is None:
+        store = self._pools.stores.get(message.store)
+        if store is None:
             return
         up = message.epoch != 0
-        if up != known.up:
+        if up != store.up:
             text = 'cache store in use' if up else 'cache store not in use'
             log.info(text, extra={'address': message.store, 'epoch': message.epoch})
-        known.up = up
+        store.up = up
         if up:
-            known.begin_epoch(message.epoch)
-            known.apply(message.added, message.removed)
+            store.begin_epoch(message.epoch)
+            store.apply(message.added, message.removed)
--- a/passpier/routing/knowledge.py
+++ b/passpier/routing/knowledge.py
@@ -1,4 +1,4 @@
-"""What a router process knows from the registry, and how old it may be."""
+"""Keeps this process's copy of the registry, with its age."""
 
 from __future__ import annotations
 
@@ -16,36 +16,38 @@
 log = logging.getLogger(__name__)
 
 
-class Told(msgspec.Struct, frozen=True):
-    """A peer's news up to `revision`, asked for behind `since`."""
+class PeerChanges(msgspec.Struct, frozen=True):
+    """A peer's changes after revision `since`, up to `revision`."""
 
-    news: history.News
+    changes: history.ChangeSet
     since: int
     revision: int
     awaited: Mapping[str, float]
-    """Replicas whose vanished entries may come back, and for how many seconds."""
+    """Replicas whose vanished entries may come back, with the seconds left for that."""
 
 
 class Knowledge:
-    """Configuration, replicas and wanted weights; nothing here steps back in one life."""
+    """Configuration, replicas and released weights; none of them ever reverts to an older state."""
 
-    def __init__(self, records: dialect.Records, known: pools.Pools, key_bound: float) -> None:
+    def __init__(
+        self, records: dialect.Records, replica_pools: pools.Pools, key_bound: float
+    ) -> None:
         self.records = records
-        self.pools = known
+        self.pools = replica_pools
         self.freshness = freshness.Freshness(key_bound)
         self.table: routes.Table | None = None
         self.catalogue = catalogue.Catalogue()
         self.revision = 0
-        """The registry's revision up to which everything is known."""
+        """The registry's revision up to which all changes are applied."""
 
         self.changed_at = 0
-        """The revision of the newest known change that routers did not write themselves."""
+        """The revision of the newest applied change that routers did not write themselves."""
 
         self.on_refused: Callable[[str], None] = lambda kind: None
-        """Called with the kind of each record that cannot be used."""
+        """Called with the kind of each record that is invalid."""
 
-        self._refused: dict[str, str] = {}
-        """By key, why the record that lies there now cannot be used."""
+        self._invalid: dict[str, str] = {}
+        """By key, why its current record is invalid."""
 
         self._revisions: dict[str, int] = {}
         self._history = history.History()
@@ -53,34 +55,38 @@
 
     @property
     def members(self) -> dict[str, registry.Item]:
-        """Items that router processes wrote, by key."""
+        """Items written by router processes, by key."""
         return self._members
 
-    def take_reading(self, reading: registry.Reading, now: float) -> None:
-        """Take over a whole reading of the registry."""
-        self._take_all(reading.items, reading.revision, now)
-        self.freshness.prove(reading.sent_at)
+    def apply_listing(self, listing: registry.Reading, now: float) -> None:
+        """Apply a full listing of the registry."""
+        self._apply_all(listing.items, listing.revision, now)
+        self.freshness.prove(listing.sent_at)
 
     def take_changes(self, changes: registry.Changes, wait: float, now: float) -> None:
-        """Take over what a watch told."""
-        self._take_changed(changes.items, changes.revision, now)
+        """Apply the result of a watch."""
+        self._apply_changed(changes.items, changes.revision, now)
         self.freshness.prove_by_watch(changes.sent_at, wait, changes.answered_at, not changes.items)
 
-    def take_proof(self, revision: int, proved_at: float) -> bool:
-        """Take over a peer's proof: it holds here if all changes that the peer knew are known."""
+    def apply_freshness(self, revision: int, proved_at: float) -> bool:
+        """Apply a peer's time of freshness; return whether it is valid here.
+
+        It is if all changes that the peer had applied are applied here as well.
+        """
         if self.table is None or self.revision < revision:
             return False
         self.freshness.prove(proved_at)
         return True
 
-    def take_report(self, life: lives.Life, report: dialect.Report) -> bool:
-        """Take over what a replica says; return whether the process that is meant said it.
+    def apply_report(self, life: lives.Life, report: dialect.Report) -> bool:
+        """Apply a replica's report; return whether the expected process sent it.
 
-        A later start than is known is news before its entry is. An earlier one is late word, or the
-        replica's clock has jumped back, which its entry will tell.
+        A process that started later than the known one is reported before its entry arrives. An
+        earlier start is an outdated report, or the replica's clock has jumped back, which its entry
+        will tell.
         """
         if report.born is None or report.born == life.born:
-            self.pools.learn_report(life, report.versions)
+            self.pools.apply_report(life, report.versions)
             self.pools.learn_signal(life, report.signal)
             return True
         other = lives.Life(life.id, report.born)
@@ -89,90 +95,90 @@
             self.pools.apply_change(change)
         return False
 
-    def export_since(self, revision: int) -> history.News:
-        """Return what a peer lacks that knows all up to a revision."""
+    def export_since(self, revision: int) -> history.ChangeSet:
+        """Return the changes that a peer lacks whose state is complete up to a revision."""
         return self._history.list_since(revision)
 
-    def take_news(self, told: Told, now: float) -> bool:
-        """Take over what a peer knows.
+    def apply_peer_changes(self, received: PeerChanges, now: float) -> bool:
+        """Apply a peer's changes.
 
-        Returns false if something between what is known here and the news may be missing.
+        Returns false if changes may be missing between the local state and those of the peer.
         """
-        if told.news.whole:
-            if told.revision >= self.revision:
-                self._take_all(told.news.items, told.revision, now, told.awaited)
+        if received.changes.whole:
+            if received.revision >= self.revision:
+                self._apply_all(received.changes.items, received.revision, now, received.awaited)
             return True
-        if told.since > self.revision:
+        if received.since > self.revision:
             return False
-        self._take_changed(told.news.items, told.revision, now, told.awaited)
+        self._apply_changed(received.changes.items, received.revision, now, received.awaited)
         return True
 
     def is_ready(self) -> bool:
-        """Return whether requests can be decided on."""
+        """Return whether a configuration is known, without which requests can't be routed."""
         return self.table is not None
 
     def expire(self, now: float) -> None:
-        """Drop replicas whose entries have not come back."""
+        """Drop replicas whose vanished entries have not come back in time."""
         for change in self.catalogue.expire(now):
             self.pools.apply_change(change)
 
-    def _take_all(
+    def _apply_all(
         self,
         items: Sequence[registry.Item],
         revision: int,
         now: float,
         awaited: Mapping[str, float] | None = None,
     ) -> None:
-        self._take_changed(items, revision, now, awaited)
+        self._apply_changed(items, revision, now, awaited)
         keys = {i.key for i in items}
         gone = [k for k in self._revisions if k not in keys]
         for key in gone:
-            # Only what was older than the reading can be missing from it.
+            # Items newer than the listing can't be in it.
             if self._revisions[key] <= revision:
                 self._remove(key, revision, now, awaited)
         self._history.begin(revision)
 
-    def _take_changed(
+    def _apply_changed(
         self,
         items: Sequence[registry.Item],
         revision: int,
         now: float,
         awaited: Mapping[str, float] | None = None,
     ) -> None:
-        known = self.revision
+        known_revision = self.revision
         for item in items:
-            # Watch, readings and peers tell the same changes in any order; an old one would bring
-            # back what is gone, and nobody would tell again that it is.
-            if item.revision <= known:
+            # Watches, listings and peers deliver the same changes in any order. An old one would
+            # restore a removed item, and its removal would not be delivered again.
+            if item.revision <= known_revision:
                 continue
             if not item.removed:
-                self._take(item, now)
+                self._apply_item(item, now)
             elif self._revisions.get(item.key, 0) <= item.revision:
                 self._remove(item.key, item.revision, now, awaited)
         self.revision = max(self.revision, revision)
 
-    def _take(self, item: registry.Item, now: float) -> None:
+    def _apply_item(self, item: registry.Item, now: float) -> None:
         if self._revisions.get(item.key, 0) >= item.revision:
             return
         self._revisions[item.key] = item.revision
         self._history.note(item)
         self._note_change(item.key, item.revision)
         try:
-            self._apply(item, now)
+            self._dispatch_item(item, now)
         except exceptions.StoreError as error:
-            self._refuse(item, str(error))
+            self._reject_item(item, str(error))
         else:
-            self._refused.pop(item.key, None)
+            self._invalid.pop(item.key, None)
 
-    def _refuse(self, item: registry.Item, error: str) -> None:
-        """Take over a record that says nothing: an entry then names no replica any more."""
+    def _reject_item(self, item: registry.Item, error: str) -> None:
+        """Handle an invalid record; if it is a replica's entry, the replica is removed."""
         records = self.records
         is_replica = item.key.startswith(records.replica_prefix)
         self.on_refused('replica' if is_replica else 'operator')
-        if self._refused.get(item.key) != error:
-            self._refused[item.key] = error
+        if self._invalid.get(item.key) != error:
+            self._invalid[item.key] = error
             log.warning(
-                'record refused',
+                'invalid registry record',
                 extra={'key': item.key, 'revision': item.revision, 'error': error},
             )
         if is_replica:
@@ -180,12 +186,12 @@
             if change is not None:
                 self.pools.apply_change(change)
 
-    def _apply(self, item: registry.Item, now: float) -> None:
+    def _dispatch_item(self, item: registry.Item, now: float) -> None:
         records = self.records
         if item.key == records.configuration_key:
-            self._take_configuration(records.decode_configuration(item.data), item.revision)
+            self._apply_configuration(records.decode_configuration(item.data), item.revision)
         elif item.key.startswith(records.version_prefix):
-            self._take_naming(item, now)
+            self._apply_release(item, now)
         elif item.key.startswith(records.replica_prefix):
             id = item.key.removeprefix(records.replica_prefix)
             change = self.catalogue.put(records.decode_replica(id, item.data))
@@ -194,7 +200,7 @@
         elif item.key.startswith(records.own_prefix):
             self._members[item.key] = item
 
-    def _take_configuration(self, configuration: routes.Configuration, revision: int) -> None:
+    def _apply_configuration(self, configuration: routes.Configuration, revision: int) -> None:
         if self.table is not None and self.table.configuration.version >= configuration.version:
             return
         self.table = routes.Table(configuration)
@@ -210,16 +216,16 @@
             },
         )
 
-    def _take_naming(self, item: registry.Item, now: float) -> None:
+    def _apply_release(self, item: registry.Item, now: float) -> None:
         model, version = self.records.decode_named_version(item.data)
         if item.key != self.records.version_prefix + model:
             raise exceptions.StoreError(f'names weights of {model}')
-        # What was proved last did not have it yet; at a start that is nothing.
-        if not self.pools.note_naming(model, version, self.freshness.proved_at, now):
+        # The last state known to be fresh did not have it yet; right after a start there is none.
+        if not self.pools.record_release(model, version, self.freshness.proved_at, now):
             return
         age = self.freshness.compute_age(now)
         log.info(
-            'weights named',
+            'weights released',
             extra={
                 'model': model,
                 'weight_version': version,
@@ -236,7 +242,7 @@
         self, key: str, revision: int, now: float, awaited: Mapping[str, float] | None
     ) -> None:
         self._revisions.pop(key, None)
-        self._refused.pop(key, None)
+        self._invalid.pop(key, None)
         self._history.note(registry.Item(key, b'', revision, removed=True))
         self._note_change(key, revision)
         self._members.pop(key, None)
--- a/passpier/routing/limiting.py
+++ b/passpier/routing/limiting.py
@@ -1,4 +1,4 @@
-"""Keeps client accounts within their rates: charges requests, tells the other processes."""
+"""Enforces the rates of client accounts, with spending reported between processes."""
 
 from __future__ import annotations
 
@@ -14,85 +14,85 @@
 log = logging.getLogger(__name__)
 
 INTERVAL = 0.1
-"""Seconds between two messages to a peer while requests of limited accounts come."""
+"""Seconds between messages to a peer while requests of rate-limited accounts arrive."""
 
-USUAL_PEERS = 24
-"""Processes that share the rates up to which that holds; it grows with more, so that one process
-does not send more messages."""
+PEERS_AT_BASE_INTERVAL = 24
+"""Maximum number of sharing processes at which that interval is used. It grows with more of them,
+so that one process doesn't send more messages."""
 
 SHARERS_INTERVAL = 0.5
-"""Seconds between looks at who shares the rates, as often as heartbeats bring news."""
+"""Seconds between updates of which processes share the rates; heartbeats are as frequent."""
 
 QUIET_SECONDS = 2.0
-"""Seconds without any charge after which nobody is told anything until the next one."""
+"""Seconds without a charge after which no messages are sent until the next charge."""
 
-ASK_SECONDS = 0.15
-"""Seconds for which a request waits at the most for word from processes that are out of touch. It
-takes some milliseconds; a process that has stood by is in touch with nobody."""
+CONTACT_TIMEOUT = 0.15
+"""Maximum number of seconds for which a request waits for messages from processes that are not
+connected. They take some milliseconds; a process that was on standby is connected to none."""
 
-ASK_AGAIN_SECONDS = 1.0
-"""Seconds after which they are asked again; until then whoever is out of touch counts as away."""
+CONTACT_RETRY_SECONDS = 1.0
+"""Seconds before they are contacted again; until then those not connected count as absent."""
 
 RETRY_MIN = 0.05
-"""Seconds after which a refused client should come back at the earliest."""
+"""Minimum delay, in seconds, after which a refused client should retry."""
 
 RETRY_SPREAD = 0.5
-"""Part of the wait by which clients that are refused together come back apart."""
+"""Fraction of the delay by which retries of clients that were refused together are spread."""
 
 
-class Limiter:
-    """One process's part in keeping the rates."""
+class RateLimiter:
+    """Enforces the shared rates in this process."""
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        registry_state: knowledge.Knowledge,
         membership: members.Membership,
         link: peers.Peers,
         tolerance: buckets.Tolerance,
         rng: random.Random,
     ) -> None:
         self.book = buckets.SharedBuckets(tolerance, INTERVAL, clocks.now())
-        self._known = known
+        self._registry_state = registry_state
         self._membership = membership
         self._peers = link
         self._rng = rng
         self._table: routes.Table | None = None
         self._sharers_at = float('-inf')
         self._addresses: dict[str, str] = {}
-        """Of the other processes that share the rates."""
+        """The peer addresses of the other processes that share the rates."""
 
-        self._carries = False
+        self._is_sharer = False
         """Whether this process is one of those that share the rates."""
 
         self._spent_at = float('-inf')
-        """When a limited account last asked for something here."""
+        """When a request of a rate-limited account was last charged here."""
 
-        self._told_at: dict[str, float] = {}
-        """When others were last told, those included that do not share the rates."""
+        self._sent_at: dict[str, float] = {}
+        """When each process was last sent a message, also if it doesn't share the rates."""
 
         self._turns = turns.Turns()
-        self._heard = asyncio.Event()
-        self._asked_at = float('-inf')
-        link.handle(messages.Spent, self._take_spent)
+        self._connected = asyncio.Event()
+        self._contacted_at = float('-inf')
+        link.handle(messages.Spent, self._handle_spent)
 
     async def run(self) -> None:
-        """Tell the others until cancelled."""
+        """Send messages to the other processes until cancelled."""
         while True:
             await asyncio.sleep(self.book.interval if self.book.has_rates else SHARERS_INTERVAL)
             now = clocks.now()
             self.sync(now)
-            if self._may_tell(now) and now - self.book.changed_at < QUIET_SECONDS:
-                self._tell_all(now)
+            if self._must_report(now) and now - self.book.changed_at < QUIET_SECONDS:
+                self._send_to_sharers(now)
 
     def sync(self, now: float) -> None:
-        """Take over the configuration and who shares the rates."""
-        table = self._known.table
+        """Apply the configuration and the set of processes that share the rates."""
+        table = self._registry_state.table
         if table is not None and table is not self._table:
             self._table = table
             self.book.configure(table.rates, now)
         if not self.book.has_rates:
             return
-        # After a start the others are met one by one.
+        # After a start the other processes are discovered one by one.
         interval = SHARERS_INTERVAL if self._addresses else INTERVAL
         if now - self._sharers_at >= interval:
             self._sharers_at = now
@@ -100,23 +100,23 @@
             self._turns.forget(now)
 
     async def charge(self, request: str, account: str, cost: int, patience: float) -> float:
-        """Spend `cost` units, or return the seconds after which the client should come back.
+        """Spend `cost` units, or return the seconds after which the client should retry.
 
-        It still waits for `patience` seconds.
+        The client waits for `patience` more seconds.
         """
         now = clocks.now()
         self.sync(now)
         self._spent_at = now
         wait = self.book.take(account, cost, now)
         if wait and self.book.compute_share(now) < 1.0:
-            wait = await self._ask(account, cost)
+            wait = await self._contact_sharers(account, cost)
             now = clocks.now()
         if not wait:
             return 0.0
-        turn = self._take_turn(account, cost, wait, patience, now)
+        turn = self._queue_retry(account, cost, wait, patience, now)
         retry_after = max(RETRY_MIN, turn) * self._rng.uniform(1.0, 1.0 + RETRY_SPREAD)
         log.info(
-            'over limit',
+            'account over its rate limit',
             extra={
                 'request': request,
                 'account': account,
@@ -129,24 +129,26 @@
         )
         return retry_after
 
-    def _take_turn(
+    def _queue_retry(
         self, account: str, cost: int, wait: float, patience: float, now: float
     ) -> float:
-        """Return when a refused client should come back, behind those that were told before it."""
-        # Each process has clients of its own that come back.
+        """Return the retry delay of a refused client, queued behind those refused before it."""
+        # Each process refuses clients of its own, which all retry.
         pace = self.book.get_rate(account).per_second / (len(self._addresses) + 1)
         return self._turns.take(account, cost, pace, wait, patience / (1.0 + RETRY_SPREAD), now)
 
-    async def _ask(self, account: str, cost: int) -> float:
-        """Spend `cost` units as soon as enough processes are in touch, if they are shortly."""
+    async def _contact_sharers(self, account: str, cost: int) -> float:
+        """Spend `cost` units as soon as enough processes are connected, if that is soon."""
         now = clocks.now()
-        if now - self._asked_at > ASK_AGAIN_SECONDS:
-            self._asked_at = now
-            self._tell_all(now)
-        while now < self._asked_at + ASK_SECONDS:
-            self._heard.clear()
+        if now - self._contacted_at > CONTACT_RETRY_SECONDS:
+            self._contacted_at = now
+            self._send_to_sharers(now)
+        while now < self._contacted_at + CONTACT_TIMEOUT:
+            self._connected.clear()
             try:
-                await asyncio.wait_for(self._heard.wait(), self._asked_at + ASK_SECONDS - now)
+                await asyncio.wait_for(
+                    self._connected.wait(), self._contacted_at + CONTACT_TIMEOUT - now
+                )
             except TimeoutError:
                 break
             now = clocks.now()
@@ -155,37 +157,37 @@
         return self.book.take(account, cost, clocks.now())
 
     def _set_sharers(self, now: float) -> None:
-        """Find out who may spend: who took requests lately, and whom clients are sent to."""
+        """Determine who shares the rates: processes that serve requests or are named to clients."""
         membership = self._membership
         known = membership.list_known()
         named = entries.choose_active(known, membership.map_rates(known))
         sharers = {m.incarnation: m.peer for m in [*named, *membership.list_carrying()]}
         own = membership.own.incarnation
         took = membership.get_rate(own) > 0 and not membership.is_standing_by(now)
-        self._carries = took or own in sharers
+        self._is_sharer = took or own in sharers
         sharers.pop(own, None)
         self.book.set_sharers(sharers, now)
-        self.book.interval = INTERVAL * max(1.0, len(sharers) / USUAL_PEERS)
+        self.book.interval = INTERVAL * max(1.0, len(sharers) / PEERS_AT_BASE_INTERVAL)
         self._addresses = sharers
         self.book.forget(m.incarnation for m in known)
-        self._told_at = {n: at for n, at in self._told_at.items() if now - at < QUIET_SECONDS}
+        self._sent_at = {n: at for n, at in self._sent_at.items() if now - at < QUIET_SECONDS}
 
-    def _may_tell(self, now: float) -> bool:
-        """Return whether others have to know of this process: it may spend, or has lately."""
+    def _must_report(self, now: float) -> bool:
+        """Return whether others must know this process: it may spend, or has done so lately."""
         spent = now - self._spent_at < QUIET_SECONDS
-        return self.book.has_rates and (self._carries or spent)
+        return self.book.has_rates and (self._is_sharer or spent)
 
-    def _tell_all(self, now: float) -> None:
+    def _send_to_sharers(self, now: float) -> None:
         for name, address in self._addresses.items():
-            self._tell(name, address, now)
+            self._send(name, address, now)
 
-    def _tell(self, name: str, address: str, now: float) -> None:
-        self._told_at[name] = now
+    def _send(self, name: str, address: str, now: float) -> None:
+        self._sent_at[name] = now
         number, heard, knows, rows = self.book.tell(name, now)
-        told = [(row.account, row.spent, row.left) for row in rows]
-        self._peers.send(address, messages.Spent(number, heard, knows, told))
+        spent_rows = [(row.account, row.spent, row.left) for row in rows]
+        self._peers.send(address, messages.Spent(number, heard, knows, spent_rows))
 
-    def _take_spent(self, sender: str, address: str, message: messages.Spent) -> None:
+    def _handle_spent(self, sender: str, address: str, message: messages.Spent) -> None:
         now = clocks.now()
         self.sync(now)
         was_in_touch = self.book.is_in_touch(sender, now)
@@ -193,19 +195,19 @@
         number, heard = message.number, message.confirmed
         self.book.hear(sender, number, heard, message.knows, rows, now)
         if not was_in_touch:
-            self._heard.set()
-        # Whoever is not told anyway waits for word from here, perhaps with a request.
-        late = now - self._told_at.get(sender, float('-inf')) >= self.book.interval
-        is_told = sender in self._addresses and was_in_touch
-        if late and not is_told and self._may_tell(now):
-            self._tell(sender, address, now)
+            self._connected.set()
+        # A peer that is not sent messages regularly may be waiting for one with a request at hand.
+        late = now - self._sent_at.get(sender, float('-inf')) >= self.book.interval
+        is_updated = sender in self._addresses and was_in_touch
+        if late and not is_updated and self._must_report(now):
+            self._send(sender, address, now)
 
 
 class Charge:
-    """What one request has been charged and has not spent yet."""
+    """The charge of one request, as long as it is not spent."""
 
     def __init__(
-        self, limiter: Limiter, request: str, account: routes.Account | None, tokens: int | None
+        self, limiter: RateLimiter, request: str, account: routes.Account | None, tokens: int | None
     ) -> None:
         self._limiter = limiter
         self._request = request
@@ -213,11 +215,11 @@
         self._tokens = tokens
         self._charged = 0
 
-    async def take(self, patience: float) -> float:
+    async def acquire(self, patience: float) -> float:
         """Charge one attempt, unless the charge of the last one was not spent.
 
-        Returns 0, or the seconds after which the client should come back, which still waits for
-        `patience` seconds.
+        Returns 0, or the seconds after which the client should retry; it waits for `patience` more
+        seconds.
         """
         if self._charged or self._account is None:
             return 0.0
@@ -227,12 +229,12 @@
             self._charged = cost
         return retry_after
 
-    def note_spent(self) -> None:
-        """Note that an attempt may have run: the next one is charged anew."""
+    def mark_spent(self) -> None:
+        """Record that an attempt may have run: the next one is charged anew."""
         self._charged = 0
 
-    def give_back(self) -> None:
-        """Give back what was charged for an attempt that did not run."""
+    def refund(self) -> None:
+        """Refund the charge of an attempt that did not run."""
         if self._charged and self._account is not None:
             self._limiter.book.give_back(self._account.name, self._charged, clocks.now())
             self._charged = 0
--- a/passpier/routing/marks.py
+++ b/passpier/routing/marks.py
@@ -1,8 +1,8 @@
-"""Keeps in the registry which requests replicas have ended under, for processes no peer can tell.
+"""Records crashes and the requests running at them in the registry, for processes peers can't tell.
 
-Peers tell each other at once, but not behind a cut, and whoever starts after all have ended finds
-nobody to ask. A record is one write for each replica that ends, by each process that had requests
-running there, and lapses by itself.
+Peers tell each other at once, but not across a partition, and a process that starts after all
+others have ended has no peer to ask. Each process that had requests running on a crashed replica
+writes one record per crash, which expires by itself.
 """
 
 from __future__ import annotations
@@ -21,25 +21,26 @@
 log = logging.getLogger(__name__)
 
 INTERVAL = 0.2
-"""Seconds between looks at what has come and what is to be written."""
+"""Seconds between checks for records to read or write."""
 
 LEASE = 600.0
-"""Seconds after which records lapse, the most that registries grant: a caller that has not sent its
-request for so long has mostly given up, and if it has not, three replicas tell again."""
+"""Seconds after which records expire, the most that registries grant. A caller that has not sent
+its request again by then has mostly given up; if not, it takes three more crashes to detect it
+again."""
 
 LEASE_USED = 300.0
-"""Seconds for which new records go under the same lease."""
+"""Seconds for which new records are written under the same lease."""
 
-MOST_KEPT = 256
-"""Ends seen here of which the requests are kept, to be written or written again; the oldest go
-first."""
+CRASHES_MAX = 256
+"""Maximum number of crashes seen here whose requests are kept to be written, or written again. The
+oldest are dropped first."""
 
 _KEY = 'suspects/'
 _TRIAL_KEY = 'trials/'
 
 
 class Record(msgspec.Struct, array_like=True):
-    """What is written of one end."""
+    """The stored record of one crash."""
 
     replica: str
     born: int
@@ -47,75 +48,76 @@
 
 
 class Marks:
-    """One process's part in writing and reading the records."""
+    """Reads and writes the records."""
 
     def __init__(
         self,
         source: registry.Registry,
-        known: knowledge.Knowledge,
-        shared: suspects.Suspects,
+        registry_state: knowledge.Knowledge,
+        suspect_tracker: suspects.Suspects,
         name: str,
     ) -> None:
         self._source = source
-        self._known = known
-        self._suspects = shared
-        self._prefix = known.records.own_prefix + _KEY
-        self._trial_prefix = known.records.own_prefix + _TRIAL_KEY
+        self._registry_state = registry_state
+        self._suspects = suspect_tracker
+        self._prefix = registry_state.records.own_prefix + _KEY
+        self._trial_prefix = registry_state.records.own_prefix + _TRIAL_KEY
         self._name = name
         self._read: dict[str, int] = {}
-        """By key, the revision that was taken over."""
+        """By key, the revision of the last record applied."""
 
         self._seen: dict[lives.Life, list[int]] = {}
-        """The requests under each end that was seen here; some see it later than others."""
+        """The requests running at each crash that was seen here; more may be added later."""
 
         self._unwritten: set[lives.Life] = set()
         self._lease = 0
         self._granted_at = float('-inf')
-        shared.on_end = self._note_end
-        shared.claim_trial = self.claim_trial
+        suspect_tracker.on_end = self._note_crash
+        suspect_tracker.claim_trial = self.claim_trial
 
     async def run(self) -> None:
-        """Read and write until cancelled."""
+        """Read and write records until cancelled."""
         while True:
-            self.take_records()
+            self.apply_records()
             try:
                 await self.write_records()
             except exceptions.StoreError as error:
                 self._granted_at = float('-inf')
-                log.info('record of an end put off', extra={'error': str(error)})
+                log.info('crash record not written, will be retried', extra={'error': str(error)})
             await asyncio.sleep(INTERVAL)
 
     async def claim_trial(self, fingerprint: int) -> bool:
-        """Return whether this process alone may run a request that is held back elsewhere.
+        """Return whether this process alone may run a request that is refused everywhere else.
 
-        One claim is given in `LEASE` seconds, over all processes; none while the registry is away.
+        Over all processes, one claim is granted in `LEASE` seconds; none while the registry is
+        unavailable.
         """
         name = fingerprints.render_fingerprint(fingerprint)
         key = self._trial_prefix + name
-        if key in self._known.members:
-            # Another process has it; to ask for a lease would cost a call for each arrival.
+        if key in self._registry_state.members:
+            # Another process has claimed it; asking for a lease would cost a call for each request.
             return False
         try:
             lease = await self._source.grant(LEASE)
             await self._source.write([registry.Put(key, b'', lease)], [registry.IsAt(key, 0)])
         except (exceptions.StoreError, exceptions.ConflictError) as error:
             fields = {'fingerprint': name, 'error': str(error)}
-            log.info('no trial of a suspect', extra=fields)
+            log.info('trial of a suspect request not granted', extra=fields)
             return False
-        log.info('trial of a suspect', extra={'fingerprint': name})
+        log.info('trial of a suspect request granted', extra={'fingerprint': name})
         return True
 
-    def take_records(self) -> None:
-        """Take over the records that are new."""
-        members = self._known.members
+    def apply_records(self) -> None:
+        """Apply new records."""
+        members = self._registry_state.members
         self._read = {key: revision for key, revision in self._read.items() if key in members}
         for key, item in members.items():
             if key.startswith(self._prefix) and self._read.get(key) != item.revision:
                 self._read[key] = item.revision
-                self._take(key, item)
+                self._apply_record(key, item)
 
     async def write_records(self) -> None:
-        """Write what was seen here since the last time; raises `StoreError`."""
+        """Write the crashes seen here since the last write; raises `StoreError`."""
         if not self._unwritten:
             return
         now = clocks.now()
@@ -123,29 +125,31 @@
             self._lease = await self._source.grant(LEASE)
             self._granted_at = now
         writing = {life: list(self._seen[life]) for life in self._unwritten}
-        puts = [self._build_put(life, under) for life, under in writing.items()]
+        puts = [self._build_put(life, running) for life, running in writing.items()]
         await self._source.write(puts)
-        self._unwritten -= {life for life, under in writing.items() if self._seen[life] == under}
-        log.info('ends recorded', extra={'upstreams': [str(life) for life in writing]})
+        self._unwritten -= {
+            life for life, running in writing.items() if self._seen[life] == running
+        }
+        log.info('crashes recorded', extra={'upstreams': [str(life) for life in writing]})
 
-    def _note_end(self, life: lives.Life, under: list[int]) -> None:
-        self._seen.setdefault(life, []).extend(under)
+    def _note_crash(self, life: lives.Life, running: list[int]) -> None:
+        self._seen.setdefault(life, []).extend(running)
         self._unwritten.add(life)
-        while len(self._seen) > MOST_KEPT:
+        while len(self._seen) > CRASHES_MAX:
             oldest = next(iter(self._seen))
             del self._seen[oldest]
             self._unwritten.discard(oldest)
 
-    def _build_put(self, life: lives.Life, under: list[int]) -> registry.Put:
-        data = msgspec.json.encode(Record(life.id, life.born, under))
+    def _build_put(self, life: lives.Life, running: list[int]) -> registry.Put:
+        data = msgspec.json.encode(Record(life.id, life.born, running))
         return registry.Put(f'{self._prefix}{self._name}/{life}', data, self._lease)
 
-    def _take(self, key: str, item: registry.Item) -> None:
+    def _apply_record(self, key: str, item: registry.Item) -> None:
         try:
             record = msgspec.json.decode(item.data, type=Record)
         except msgspec.MsgspecError as error:
-            log.error('record of an end skipped', extra={'key': key, 'error': str(error)})
+            log.error('invalid crash record ignored', extra={'key': key, 'error': str(error)})
             return
-        # It has no age that two clocks agree on; it was true when it was read.
-        end = crashes.End(record.replica, record.born, 0.0, record.suspects)
-        self._suspects.take_ends([end], 'registry')
+        # The record has no age, since clocks differ; the crash counts as having happened now.
+        crash = crashes.End(record.replica, record.born, 0.0, record.suspects)
+        self._suspects.take_ends([crash], 'registry')
--- a/passpier/routing/pools.py
+++ b/passpier/routing/pools.py
@@ -1,4 +1,4 @@
-"""The upstreams as the router believes them to be: who serves what, with which weights."""
+"""Keeps the router's state of all replicas: service, process, weights, caches and pauses."""
 
 from __future__ import annotations
 
@@ -23,42 +23,45 @@
 
 log = logging.getLogger(__name__)
 
-ROOM_SECONDS = 0.3
-"""Seconds of prefill that may wait at each engine before requests wait here, urgent ones first, and
-those that would come late are refused at once: about the reading of two long prompts.
+ENGINE_QUEUE_SECONDS = 0.3
+"""Seconds of prefill that may be queued at each engine, about two long prompts.
 
-More keeps a queue at a pool at its limit for as long as the load lasts, so that all come late; less
-refuses bursts on a pool that is far from its limit.
+Further requests are queued here, where urgent ones go first and those that would miss their
+deadline are rejected at once. A higher value keeps a standing queue at a saturated pool for as long
+as the load lasts, so that all requests are late; a lower one rejects bursts on a pool that is far
+from saturated.
 """
 
 PAUSE_FULL = 0.03
-"""Seconds for which a replica that refused a request for want of room gets no other."""
+"""Seconds for which a replica that rejected a request for lack of capacity gets no other."""
 
 BACKOFF_MAX = 600.0
-"""Seconds for which this process backs off from a replica at the most."""
+"""Upper bound, in seconds, of a backoff that a replica asks for."""
 
 PAUSE_LOADING = 1.2
-"""Seconds for which a replica that was told to load weights gets nothing, unless it ends sooner."""
+"""Seconds without requests for a replica that was told to load weights, unless it is done
+sooner."""
 
 REPORT_LAG = 1.5
-"""Seconds within which a replica's report may still show it as it was: some tenths by its account,
-and up to 0.4 on its way. Older weights in a later one are those that it has."""
+"""Seconds by which a replica's report may lag behind its state: a few tenths in the replica, and up
+to 0.4 on the way. Older weights in a later report are the ones that the replica really has."""
 
 OLD_WEIGHTS_GRACE = 1.5
-"""Seconds after new weights are named from which answers of old ones are worth less."""
+"""Seconds after the release of new weights from which answers of older ones are worth less."""
 
-GAIN_LOGGED = 0.5
-"""Seconds by which a peer knows better when weights were named for a line in the log."""
+CORRECTION_LOGGED_MIN = 0.5
+"""Seconds by which a peer's time of a release must be later than ours to be logged."""
 
-INCOMPLETE_LOGGED = 5
-"""Ids that a line on entries which are not used names; it tells how many there are."""
+INCOMPLETE_LOGGED_MAX = 5
+"""Maximum number of ids in a log line on unused entries; the line also has their total count."""
 
-ENOUGH_NEW = 0.75
-"""Part of a pool that must have new weights before all requests go there."""
+NEW_WEIGHTS_SHARE = 0.75
+"""Fraction of a pool's usable replicas that must have the new weights before all requests go
+there."""
 
 
 class Pools:
-    """Replicas by service, with their load, weights and caches."""
+    """All replicas by service, with their load, weights and caches."""
 
     def __init__(self, version_bound: float, view_blocks: int = 100_000) -> None:
         self.replicas: dict[str, replicas.Replica] = {}
@@ -66,64 +69,64 @@
         self.ejector = ejection.Ejector()
         self.stores = kept.Stores()
         self.silent: set[str] = set()
-        """Replicas that give this process no sign of life."""
+        """Replicas that don't respond to this process."""
 
         self.namings: dict[str, namings.Namings] = {}
-        """By model: which weights were named, and since when older ones are outdated."""
+        """By model, the released weight versions and since when older ones are outdated."""
 
         self._pauses: dict[str, pauses.Pauses] = {}
         self.version_bound = version_bound
-        """Seconds after newer weights were named within which a request may begin on older ones."""
+        """Seconds after the release of newer weights in which a request may begin on older ones."""
 
-        self.on_ended: Callable[[replicas.Replica], None] = lambda replica: None
-        """Called with what was known of a process that has ended."""
+        self.on_process_ended: Callable[[replicas.Replica], None] = lambda replica: None
+        """Called with the state of a replica process that has ended."""
 
         self.on_signal: Callable[[lives.Life, backpressure.Signal, float | None], None] = (
             lambda life, signal, ran_since: None
         )
-        """Called with what each answer asks for; see `learn_signal`."""
+        """Called with the backpressure signal of each answer; see `learn_signal`."""
 
         self.on_leaving: Callable[[lives.Life], None] = lambda life: None
-        """Called when an answer says for the first time that its replica leaves."""
+        """Called when an answer announces for the first time that its replica is leaving."""
 
         self._pools: dict[str, list[str]] = {}
         self._entries: dict[str, catalogue.Entry] = {}
         self._models: dict[str, str] = {}
         self._services: Mapping[str, routes.Service] = {}
-        """Services of the configuration; a replica of any other one is not used."""
+        """The configured services; replicas of any other service are not used."""
 
         self._incomplete: dict[str, set[str]] = {}
-        """By service, the ids whose entries are no replicas' own."""
+        """By service, the ids of entries that lack fields which other replicas' entries have."""
 
     def apply_configuration(self, configuration: routes.Configuration) -> None:
-        """Take over services and cache stores."""
+        """Apply the services and cache stores of a configuration."""
         self._services = configuration.services
         self.stores.set_domains({s.address: s.failure_domain for s in configuration.cache_stores})
         for entry in self._entries.values():
             self._apply_service(entry)
 
     def apply_change(self, change: catalogue.Change) -> None:
-        """Take over a replica that came, changed, started again or went."""
+        """Apply the addition, update, restart or removal of a replica."""
         if change.entry is None:
             gone = self._entries.get(change.id)
-            self._end_life(change.id)
+            self._remove_process(change.id)
             if gone is not None:
-                self._compare_entries(gone.service)
-            log.info('upstream gone', extra={'upstream': change.id, 'reason': change.reason})
+                self._update_incomplete(gone.service)
+            log.info('upstream removed', extra={'upstream': change.id, 'reason': change.reason})
             return
         entry = change.entry
         before = self._entries.get(entry.id)
         if before is not None and not _is_same_process(before, entry):
-            self._end_life(entry.id)
-            self._compare_entries(before.service)
+            self._remove_process(entry.id)
+            self._update_incomplete(before.service)
         if entry.id not in self.replicas:
-            self._begin_life(entry)
+            self._add_process(entry)
         self._entries[entry.id] = entry
         replica = self.replicas[entry.id]
         replica.slots = entry.slots
         replicas.set_leaving(replica, 'registry', entry.draining)
         self._apply_service(entry)
-        self._compare_entries(entry.service)
+        self._update_incomplete(entry.service)
         log.info(
             'upstream changed',
             extra={
@@ -139,56 +142,58 @@
             },
         )
 
-    def note_naming(self, model: str, version: int, not_before: float, now: float) -> bool:
-        """Note a named version; return whether it is newer than the known ones.
+    def record_release(self, model: str, version: int, not_before: float, now: float) -> bool:
+        """Record the release of a weight version; return whether it is newer than the known ones.
 
-        Until `not_before` it was certainly not named.
+        `not_before` is the latest time at which it was certainly not released yet.
         """
-        known = self.namings.setdefault(model, namings.Namings())
-        known.forget(now - self.version_bound)
-        return known.note(version, not_before, now)
-
-    def learn_namings(self, model: str, told: Sequence[namings.Naming]) -> None:
-        """Take over what a peer knows of when versions were named."""
-        known = self.namings.get(model)
-        if known is None or known.merge(told) < GAIN_LOGGED:
+        releases = self.namings.setdefault(model, namings.Namings())
+        releases.forget(now - self.version_bound)
+        return releases.note(version, not_before, now)
+
+    def merge_releases(self, model: str, received: Sequence[namings.Naming]) -> None:
+        """Merge the lower bounds of release times that a peer knows."""
+        releases = self.namings.get(model)
+        if releases is None or releases.merge(received) < CORRECTION_LOGGED_MIN:
             return
         now = clocks.now()
-        ages = {n.version: _compute_age(n, now) for n in known.known}
-        log.info('weights named later', extra={'model': model, 'ages': ages})
+        ages = {n.version: _compute_age(n, now) for n in releases.known}
+        log.info(
+            'release time of weights corrected by a peer', extra={'model': model, 'ages': ages}
+        )
 
-    def list_wanted(self) -> list[rollout.Wanted]:
-        """Return the newest weights of each model."""
+    def list_released_versions(self) -> list[rollout.Wanted]:
+        """Return the newest released weight version of each model."""
         return [rollout.Wanted(model, n.newest) for model, n in self.namings.items()]
 
     def find(self, life: lives.Life) -> replicas.Replica | None:
-        """Return a replica if its process is still the one that is meant."""
+        """Return a replica if its current process is the given one."""
         replica = self.replicas.get(life.id)
         return replica if replica is not None and replica.born == life.born else None
 
-    def has_started_again(self, life: lives.Life) -> bool:
-        """Return whether another process of a replica is known to have followed one."""
+    def has_restarted(self, life: lives.Life) -> bool:
+        """Return whether a replica is known to run as another process than the given one."""
         replica = self.replicas.get(life.id)
         return replica is not None and replica.born != life.born
 
-    def has_left(self, life: lives.Life) -> bool:
-        """Return whether a replica's process was to end, so that its end says nothing more."""
+    def is_exit_expected(self, life: lives.Life) -> bool:
+        """Return whether a process was expected to exit, so that its end is no crash."""
         replica = self.find(life)
         if replica is None:
-            return not self.has_started_again(life)
+            return not self.has_restarted(life)
         return replica.leaving
 
     def learn_version(self, life: lives.Life, version: int, source: str) -> None:
-        """Note a replica's weight version; late word of older ones does not count."""
+        """Update a replica's weight version; older versions are ignored as outdated news."""
         replica = self.find(life)
         if replica is not None and int(replica.weight_version or 0) < version:
             self._set_version(replica, version, source)
 
-    def learn_report(self, life: lives.Life, versions: Mapping[str, int]) -> None:
-        """Note the weight versions that a replica reports.
+    def apply_report(self, life: lives.Life, versions: Mapping[str, int]) -> None:
+        """Apply the weight versions that a replica reports.
 
-        They are older than is known if an order to the process before was carried out late by this
-        one, as its first.
+        They are older than the known ones if the current process carried out, as its first, an
+        order that was meant for the process before.
         """
         replica = self.find(life)
         version = versions.get(self._models.get(life.id, ''), 0)
@@ -208,7 +213,7 @@
         capacity = self.cache.get_capacity(life.id)
         self.cache.set_incarnation(life.id, identify_cache(life, str(version)), capacity)
         log.info(
-            'upstream weights',
+            'upstream weight version updated',
             extra={
                 'upstream': life.id,
                 'born': life.born,
@@ -217,20 +222,20 @@
             },
         )
 
-    def note_replaced(self, life: lives.Life) -> None:
-        """Note that a replica's process is gone, though its entry may still be there."""
+    def mark_replaced(self, life: lives.Life) -> None:
+        """Record that a replica process is gone, even if its entry still exists."""
         replica = self.find(life)
         if replica is not None and replicas.set_leaving(replica, 'replaced', True):
             fields = {'upstream': life.id, 'born': life.born, 'address': replica.address}
-            log.info('upstream replaced', extra=fields)
+            log.info('upstream process replaced', extra=fields)
 
     def learn_signal(
         self, life: lives.Life, signal: backpressure.Signal, ran_since: float | None = None
     ) -> None:
-        """Note what an answer of a replica asks for.
+        """Apply the backpressure signal of a replica's answer.
 
-        `ran_since` is when the request was sent that the replica has run and answered; none if the
-        answer is no such one, so that what it does not ask for may hold all the same.
+        `ran_since` is the send time of the request that the replica ran and answered. It is none
+        for any other answer: what such an answer doesn't ask for may still be in force.
         """
         replica = self.find(life)
         if replica is None:
@@ -238,7 +243,7 @@
         self.on_signal(life, signal, ran_since)
         if signal.backoff is not None:
             self.pause(life, pauses.Pause.BACKOFF, min(signal.backoff, BACKOFF_MAX), 'Retry-After')
-        if signal.leaving and self.note_leaving(life, 'answer'):
+        if signal.leaving and self.mark_leaving(life, 'answer'):
             self.on_leaving(life)
         if replica.signal == signal or (ran_since is None and signal == backpressure.NO_SIGNAL):
             return
@@ -254,54 +259,54 @@
             },
         )
 
-    def note_leaving(self, life: lives.Life, source: str) -> bool:
-        """Note that a replica said that it leaves; return whether that is news.
+    def mark_leaving(self, life: lives.Life, source: str) -> bool:
+        """Record that a replica said that it is leaving; return whether that was unknown.
 
-        It holds for as long as the process lives: what the registry says may be older.
+        It holds for the lifetime of the process, since the registry may lag behind.
         """
         replica = self.find(life)
         if replica is None or not replicas.set_leaving(replica, 'said so', True):
             return False
         fields = {'upstream': life.id, 'born': life.born, 'source': source}
-        log.info('upstream leaves', extra=fields)
+        log.info('upstream is leaving', extra=fields)
         return True
 
     def pause(
-        self, life: lives.Life, why: pauses.Pause, seconds: float, detail: str, version: int = 0
+        self, life: lives.Life, kind: pauses.Pause, seconds: float, detail: str, version: int = 0
     ) -> None:
-        """Give a replica no new requests for a while; a load's `version` is what it is to load."""
+        """Send a replica no new requests for some seconds; `version` is the one it is to load."""
         replica = self.find(life)
         if replica is None:
             return
-        known = self._pauses[life.id]
-        known.begin(why, clocks.now() + seconds, version)
-        replica.paused_until = known.until
-        replica.backoff_until = known.get_until(pauses.Pause.BACKOFF)
+        paused = self._pauses[life.id]
+        paused.begin(kind, clocks.now() + seconds, version)
+        replica.paused_until = paused.until
+        replica.backoff_until = paused.get_until(pauses.Pause.BACKOFF)
         log.info(
             'upstream paused',
             extra={
                 'upstream': life.id,
-                'why': why.value,
+                'why': kind.value,
                 'seconds': seconds,
                 'reason': detail,
                 'weight_version': version,
             },
         )
 
-    def resume(self, life: lives.Life, why: pauses.Pause, version: int = 0) -> None:
-        """End a pause, but not that of a load of newer weights than `version`."""
+    def resume(self, life: lives.Life, kind: pauses.Pause, version: int = 0) -> None:
+        """End a pause, except for the load of weights that are newer than `version`."""
         replica = self.find(life)
         if replica is not None:
-            known = self._pauses[life.id]
-            known.end(why, version)
-            replica.paused_until = known.until
+            paused = self._pauses[life.id]
+            paused.end(kind, version)
+            replica.paused_until = paused.until
 
     def get(self, name: str) -> replicas.Replica:
-        """Return a known upstream."""
+        """Return a known replica."""
         return self.replicas[name]
 
     def list_serving(self, pool: str, version: str = '') -> list[replicas.Replica]:
-        """Return the upstreams of a pool that may begin a request now or shortly."""
+        """Return the replicas of a pool that may begin a request now or shortly."""
         if pool not in self._services:
             return []
         now = clocks.now()
@@ -311,28 +316,28 @@
             replica = self.replicas[name]
             if name in incomplete:
                 continue
-            if not replica.leaving and self._may_serve(replica, now):
+            if not replica.leaving and self._has_usable_weights(replica, now):
                 usable[name] = replica
-        usable = self._prefer_new(usable, now)
+        usable = self._prefer_new_weights(usable, now)
         return [usable[name] for name in self.ejector.select(list(usable), now)]
 
     def describe_weights(self, name: str) -> Mapping[str, object]:
-        """Return what the line of a decision tells of a replica's process and its weights.
+        """Return the fields of a routing decision on a replica's process and weights.
 
-        `limit` is what the replica's last answer named, if it named one. `outdated_for` are the
-        seconds for which they may have been outdated; it is left out if they are not, and null if
-        nobody knows.
+        `limit` is there if the replica's last answer had one. `outdated_for` is the maximum number
+        of seconds for which the weights may have been outdated: left out if they are current, null
+        if unknown.
         """
         replica = self.replicas[name]
         fields: dict[str, object] = {'born': replica.born}
         if replica.signal.limit is not None:
             fields['limit'] = replica.signal.limit
-        known = self.namings.get(self._models.get(name, ''))
-        if known is None:
+        releases = self.namings.get(self._models.get(name, ''))
+        if releases is None:
             return fields
         version = int(replica.weight_version or 0)
-        fields |= {'weight_version': version, 'named_version': known.newest}
-        naming = known.get_outdated(version)
+        fields |= {'weight_version': version, 'named_version': releases.newest}
+        naming = releases.get_outdated(version)
         if naming is not None:
             fields['outdated_for'] = _compute_age(naming, clocks.now())
         return fields
@@ -343,17 +348,17 @@
             log.warning('upstream ejected', extra={'upstream': life.id, 'born': life.born})
 
     def note_success(self, life: lives.Life) -> None:
-        """Clear the failed attempts of a replica."""
+        """Reset the failed attempts of a replica."""
         if self.find(life):
             self.ejector.note_success(life.id)
 
     def find_engine(self, service: str) -> routes.Engine | None:
-        """Return what the replicas of a model service can do."""
+        """Return the engine properties of a model service."""
         found = self._services.get(service)
         return found.engine if found else None
 
     def list_states(self) -> list[rollout.State]:
-        """Return the weights of all engines whose services are configured."""
+        """Return the weights of all replicas of configured model services."""
         return [
             rollout.State(
                 r.name,
@@ -369,45 +374,47 @@
         service = self._entries[name].service
         return service in self._services and name not in self._incomplete.get(service, ())
 
-    def _compare_entries(self, service: str) -> None:
-        """Find out again which of a service's entries are no replicas' own."""
+    def _update_incomplete(self, service: str) -> None:
+        """Recompute which entries of a service lack fields that the others have."""
         names = self._pools.get(service, ())
         incomplete = catalogue.find_incomplete([self._entries[n] for n in names])
         before = self._incomplete.get(service, set())
         if incomplete != before:
             self._incomplete[service] = incomplete
-            fields = {'service': service, 'upstreams': sorted(incomplete)[:INCOMPLETE_LOGGED]}
-            log.warning('entries not used', extra=fields | {'count': len(incomplete)})
+            fields = {'service': service, 'upstreams': sorted(incomplete)[:INCOMPLETE_LOGGED_MAX]}
+            log.warning(
+                'incomplete registry entries ignored', extra=fields | {'count': len(incomplete)}
+            )
 
-    def _may_serve(self, replica: replicas.Replica, now: float) -> bool:
+    def _has_usable_weights(self, replica: replicas.Replica, now: float) -> bool:
         version = int(replica.weight_version or 0)
         if not version:
-            # Without its weights nobody knows what an engine would answer with.
+            # The answers of an engine with unknown weights can't be attributed to any version.
             return not self._models.get(replica.name)
-        known = self.namings.get(self._models.get(replica.name, ''))
-        if known is None or version >= known.newest:
+        releases = self.namings.get(self._models.get(replica.name, ''))
+        if releases is None or version >= releases.newest:
             return True
-        # A request begins when those before it have been read.
+        # The request begins once the engine has prefilled those queued before it.
         wait = replicas.estimate_backlog(replica, now) * replica.seconds_per_token
-        return known.may_use(version, self.version_bound, now + wait)
+        return releases.may_use(version, self.version_bound, now + wait)
 
-    def _prefer_new(
+    def _prefer_new_weights(
         self, usable: dict[str, replicas.Replica], now: float
     ) -> dict[str, replicas.Replica]:
         """Leave out replicas with old weights once enough others have the new ones."""
         new = {n: r for n, r in usable.items() if not self._is_outdated(r, now)}
         ready = sum(now >= r.paused_until for r in new.values())
-        return new if ready >= max(1.0, len(usable) * ENOUGH_NEW) else usable
+        return new if ready >= max(1.0, len(usable) * NEW_WEIGHTS_SHARE) else usable
 
     def _is_outdated(self, replica: replicas.Replica, now: float) -> bool:
-        known = self.namings.get(self._models.get(replica.name, ''))
+        releases = self.namings.get(self._models.get(replica.name, ''))
         version = int(replica.weight_version or 0)
-        if not version or known is None:
+        if not version or releases is None:
             return False
-        return known.is_outdated(version, now, OLD_WEIGHTS_GRACE)
+        return releases.is_outdated(version, now, OLD_WEIGHTS_GRACE)
 
-    def _begin_life(self, entry: catalogue.Entry) -> None:
-        """Begin to know a replica's process, of which nothing has been learnt yet."""
+    def _add_process(self, entry: catalogue.Entry) -> None:
+        """Start tracking a replica process, with no learnt state."""
         replica = replicas.Replica(
             entry.id, entry.address, entry.id, entry.failure_domain, entry.id, slots=entry.slots
         )
@@ -416,15 +423,15 @@
         self._pauses[entry.id] = pauses.Pauses()
         self._pools.setdefault(entry.service, []).append(entry.id)
 
-    def _end_life(self, name: str) -> None:
-        """Forget all that was learnt about a replica's process: the only place that does.
+    def _remove_process(self, name: str) -> None:
+        """Drop all state learnt about a replica process; no other method does.
 
-        What is kept elsewhere names the process that it is about, and counts for no other.
+        State that is kept elsewhere is keyed by the process, and so never applied to another one.
         """
         entry = self._entries.pop(name, None)
         if entry is None:
             return
-        self.on_ended(self.replicas.pop(name))
+        self.on_process_ended(self.replicas.pop(name))
         self._pools[entry.service].remove(name)
         del self._pauses[name]
         self._models.pop(name, None)
@@ -433,7 +440,7 @@
         self.ejector.note_success(name)
 
     def _apply_service(self, entry: catalogue.Entry) -> None:
-        """Take over what a replica's service says of its engine; it may be configured later."""
+        """Apply the engine properties of a replica's service, which may be configured later."""
         replica = self.replicas[entry.id]
         engine = self.find_engine(entry.service)
         model = engine.models[0] if engine and engine.models else next(iter(entry.versions), '')
@@ -441,25 +448,25 @@
             self._models[entry.id] = model
             replica.weight_version = ''
         if model:
-            replica.room_seconds = ROOM_SECONDS
+            replica.room_seconds = ENGINE_QUEUE_SECONDS
         capacity = engine.cache_tokens if engine else 0
         key = identify_cache(replica.life, replica.weight_version)
         self.cache.set_incarnation(entry.id, key, capacity)
         self.learn_version(replica.life, entry.versions.get(model, 0), 'registry')
 
     def list_siblings(self, name: str) -> list[str]:
-        """Return all replicas of a replica's service; itself alone if it has just gone."""
+        """Return all replicas of a replica's service, or just itself if it is gone."""
         entry = self._entries.get(name)
         return self._pools[entry.service] if entry else [name]
 
 
 def identify_cache(life: lives.Life, version: str) -> str:
-    """Return the identity of what a replica has cached: its process made it, on these weights."""
+    """Return the cache identity of a replica: it depends on its process and its weight version."""
     return f'{life}/{version or 0}'
 
 
 def _is_same_process(before: catalogue.Entry, entry: catalogue.Entry) -> bool:
-    """Return whether two entries are of one process, which never moves."""
+    """Return whether two entries belong to one process, which never changes address or service."""
     return (
         before.born == entry.born
         and before.address == entry.address
@@ -468,6 +475,6 @@
 
 
 def _compute_age(naming: namings.Naming, now: float) -> float | None:
-    """Return for how many seconds a version may have been named at most, if that is known."""
+    """Return the maximum number of seconds since a version was released, if known."""
     age = now - naming.not_before
     return round(age, 3) if math.isfinite(age) else None
--- a/passpier/routing/probing.py
+++ b/passpier/routing/probing.py
@@ -1,11 +1,11 @@
-"""Finds replicas that have fallen silent: asks those that keep requests waiting whether they live.
+"""Detects unresponsive replicas: probes those on which requests are waiting.
 
-A replica that is merely slow or busy answers a report at once. One that is dark or cut off from
-this process answers nothing: it gets no more requests, those that may go elsewhere do so, and it is
-asked again until it answers. Other processes are told, and ask for themselves, since a replica may
-be silent towards some callers only.
+A replica that is merely slow or busy returns a report at once. One that is down or isolated from
+this process returns nothing: it gets no more requests, those that can are retried elsewhere, and it
+is probed until it responds. Other processes are told and probe it themselves, since a replica may
+be unreachable for some clients only.
 
-Silence is that of one process: if another one answers, the replica has started again.
+Unresponsiveness belongs to one process: if another one responds, the replica has restarted.
 """
 
 from __future__ import annotations
@@ -23,137 +23,137 @@
 
 log = logging.getLogger(__name__)
 
-SUSPECT_AFTER = 0.4
-"""Seconds without a sign of life, while a request waits, after which a replica is asked."""
+PROBE_AFTER = 0.4
+"""Seconds without any data, while a request waits, after which a replica is probed."""
 
-ASK_INTERVAL = 0.5
-"""Seconds between questions to a silent replica."""
+PROBE_INTERVAL = 0.5
+"""Seconds between probes of an unresponsive replica."""
 
-WEIGHTS_PATIENCE = 1.0
-"""Seconds after which a replica that goes on refusing for its weights is asked about them. Right
-after each load some requests are refused once; a question is priced."""
+VERSION_MISMATCH_PATIENCE = 1.0
+"""Seconds after which a replica that keeps rejecting requests for its weight version is probed.
+Right after each load some requests are rejected once, and a probe is billed."""
 
-QUESTIONS = 2
-"""Unanswered questions after which a replica counts as silent: a packet may be lost."""
+UNANSWERED_MAX = 2
+"""Unanswered probes after which a replica counts as unresponsive: a packet may be lost."""
 
 
 class Prober:
-    """Knows which replicas are silent towards this process."""
+    """Tracks which replicas don't respond to this process."""
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        registry_state: knowledge.Knowledge,
         engines: dialect.Engines,
-        tell: Callable[[messages.Silent], None],
+        notify_peers: Callable[[messages.Silent], None],
     ) -> None:
-        self._known = known
-        self._pools = known.pools
+        self._registry_state = registry_state
+        self._pools = registry_state.pools
         self._engines = engines
-        self._tell = tell
-        self._heard: dict[str, tuple[lives.Life, float]] = {}
-        """By name, the process that was heard last, and when."""
+        self._notify_peers = notify_peers
+        self._last_contacts: dict[str, tuple[lives.Life, float]] = {}
+        """By name, the process that responded last, and when."""
 
-        self._refused: dict[str, tuple[lives.Life, str, float]] = {}
-        """By name, the process and the version that it first refused, and when."""
+        self._mismatches: dict[str, tuple[lives.Life, str, float]] = {}
+        """By name, the process and the weight version it first rejected, and when."""
 
         self._tasks: dict[lives.Life, asyncio.Task[None]] = {}
-        self._ended: dict[lives.Life, asyncio.Future[bool]] = {}
-        """Whether processes that are being asked have ended, as far as that is known."""
+        self._end_states: dict[lives.Life, asyncio.Future[bool]] = {}
+        """Whether the processes being probed have ended, as soon as that is known."""
 
-    def note_heard(self, life: lives.Life) -> None:
-        """Note a sign of life."""
+    def record_contact(self, life: lives.Life) -> None:
+        """Record that a replica process responded."""
         if self._pools.find(life) is not None:
-            self._heard[life.id] = (life, clocks.now())
+            self._last_contacts[life.id] = (life, clocks.now())
 
     def is_silent(self, name: str) -> bool:
-        """Return whether a replica gives no sign of life."""
+        """Return whether a replica is unresponsive."""
         return name in self._pools.silent
 
-    def has_started_again(self, life: lives.Life) -> bool:
-        """Return whether a replica's process has ended and another one stands in its place."""
-        return self._pools.has_started_again(life)
+    def has_restarted(self, life: lives.Life) -> bool:
+        """Return whether a replica process has ended and another one has replaced it."""
+        return self._pools.has_restarted(life)
 
-    def suspect(self, life: lives.Life, patience: float = SUSPECT_AFTER) -> None:
-        """Ask a replica, unless it was heard from within `patience` seconds or is being asked."""
+    def probe(self, life: lives.Life, patience: float = PROBE_AFTER) -> None:
+        """Probe a replica, unless it responded within `patience` seconds or is being probed."""
         if life in self._tasks or self._pools.find(life) is None:
             return
-        if clocks.now() - self._get_heard_at(life) < patience:
+        if clocks.now() - self._get_last_contact(life) < patience:
             return
-        self._ended[life] = asyncio.get_running_loop().create_future()
-        task = asyncio.ensure_future(self._ask(life))
+        self._end_states[life] = asyncio.get_running_loop().create_future()
+        task = asyncio.ensure_future(self._run_probe(life))
         self._tasks[life] = task
-        task.add_done_callback(lambda _: self._forget(life))
+        task.add_done_callback(lambda _: self._finish_probe(life))
 
     async def has_ended(self, life: lives.Life) -> bool:
-        """Return whether a process whose connection broke has ended, after asking it."""
+        """Return whether a process whose connection broke has ended, after probing it."""
         if self._pools.find(life) is None:
             return True
-        self.suspect(life, 0.0)
-        return await asyncio.shield(self._ended[life])
+        self.probe(life, 0.0)
+        return await asyncio.shield(self._end_states[life])
 
-    def note_other_weights(self, life: lives.Life, version: str) -> None:
-        """Note that a replica has other weights than `version`; ask it if that lasts.
+    def note_version_mismatch(self, life: lives.Life, version: str) -> None:
+        """Record that a replica doesn't have weights `version`; probe it if that persists.
 
-        It may have started again, or loaded others by an order that came late.
+        It may have restarted, or loaded other weights by a delayed order.
         """
         now = clocks.now()
-        first = self._refused.get(life.id)
+        first = self._mismatches.get(life.id)
         if first is None or first[:2] != (life, version):
-            self._refused[life.id] = (life, version, now)
-        elif now - first[2] >= WEIGHTS_PATIENCE:
-            del self._refused[life.id]
-            self.suspect(life, 0.0)
+            self._mismatches[life.id] = (life, version, now)
+        elif now - first[2] >= VERSION_MISMATCH_PATIENCE:
+            del self._mismatches[life.id]
+            self.probe(life, 0.0)
 
     def stop(self) -> None:
-        """Ask nobody any more."""
+        """Cancel all probes."""
         for task in self._tasks.values():
             task.cancel()
 
-    def _forget(self, life: lives.Life) -> None:
+    def _finish_probe(self, life: lives.Life) -> None:
         self._tasks.pop(life, None)
-        # Who is still not certain has its entry gone, or another process in its place.
-        self._decide(life, True)
-        del self._ended[life]
+        # If still undecided, its entry is gone or another process has replaced it.
+        self._set_ended(life, True)
+        del self._end_states[life]
 
-    def _decide(self, life: lives.Life, ended: bool) -> None:
-        if not self._ended[life].done():
-            self._ended[life].set_result(ended)
+    def _set_ended(self, life: lives.Life, ended: bool) -> None:
+        if not self._end_states[life].done():
+            self._end_states[life].set_result(ended)
 
-    async def _ask(self, life: lives.Life) -> None:
+    async def _run_probe(self, life: lives.Life) -> None:
         unanswered = 0
         while (replica := self._pools.find(life)) is not None:
             try:
                 report = await self._engines.report(replica.address, replica.incarnation)
             except exchanges.ExchangeError as error:
                 if error.fault is exchanges.Fault.REPLACED:
-                    self._pools.note_replaced(life)
+                    self._pools.mark_replaced(life)
                     self._pools.silent.discard(life.id)
                     return
                 detail = str(error)
             else:
-                if self._known.take_report(life, report):
-                    self._decide(life, False)
-                    self._end_silence(life)
+                if self._registry_state.apply_report(life, report):
+                    self._set_ended(life, False)
+                    self._mark_responsive(life)
                     return
                 detail = f'answered by the process born at {report.born}'
             unanswered += 1
-            if unanswered == QUESTIONS:
-                self._decide(life, True)
-                self._begin_silence(life, detail)
-            if unanswered >= QUESTIONS:
-                seconds = 2 * ASK_INTERVAL + dialect.ASK_TIMEOUT
+            if unanswered == UNANSWERED_MAX:
+                self._set_ended(life, True)
+                self._mark_unresponsive(life, detail)
+            if unanswered >= UNANSWERED_MAX:
+                seconds = 2 * PROBE_INTERVAL + dialect.ASK_TIMEOUT
                 self._pools.pause(life, pauses.Pause.SILENT, seconds, 'gives no answer')
-                await asyncio.sleep(ASK_INTERVAL)
+                await asyncio.sleep(PROBE_INTERVAL)
 
-    def _begin_silence(self, life: lives.Life, error: str) -> None:
+    def _mark_unresponsive(self, life: lives.Life, error: str) -> None:
         if self._pools.find(life) is None:
             return
         self._pools.silent.add(life.id)
-        self._tell(messages.Silent(life.id, life.born))
-        heard_at = self._get_heard_at(life)
-        age = round(clocks.now() - heard_at, 3) if math.isfinite(heard_at) else None
+        self._notify_peers(messages.Silent(life.id, life.born))
+        contact_at = self._get_last_contact(life)
+        age = round(clocks.now() - contact_at, 3) if math.isfinite(contact_at) else None
         log.warning(
-            'upstream silent',
+            'upstream unresponsive',
             extra={
                 'upstream': life.id,
                 'born': life.born,
@@ -162,15 +162,15 @@
             },
         )
 
-    def _end_silence(self, life: lives.Life) -> None:
+    def _mark_responsive(self, life: lives.Life) -> None:
         if self._pools.find(life) is None:
             return
-        self.note_heard(life)
+        self.record_contact(life)
         if life.id in self._pools.silent:
             self._pools.silent.discard(life.id)
             self._pools.resume(life, pauses.Pause.SILENT)
-            log.info('upstream answers again', extra={'upstream': life.id, 'born': life.born})
+            log.info('upstream responding again', extra={'upstream': life.id, 'born': life.born})
 
-    def _get_heard_at(self, life: lives.Life) -> float:
-        heard, heard_at = self._heard.get(life.id, (life, float('-inf')))
-        return heard_at if heard == life else float('-inf')
+    def _get_last_contact(self, life: lives.Life) -> float:
+        heard, contact_at = self._last_contacts.get(life.id, (life, float('-inf')))
+        return contact_at if heard == life else float('-inf')
--- a/passpier/routing/reading.py
+++ b/passpier/routing/reading.py
@@ -1,4 +1,4 @@
-"""Reads an answer from a replica for as long as it shows life and the client waits."""
+"""Reads an answer from a replica while the replica responds and the client waits."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 T = TypeVar('T')
 
-LAST_LOOK = 0.02
-"""Seconds for a last look at what has arrived, once the time is over: an event loop that was late
-sees the end of the time and the answer at once."""
+FINAL_READ_SECONDS = 0.02
+"""Seconds for a final read after the timeout: a delayed event loop sees the timeout and an answer
+that arrived in time at once."""
 
 WHOLE_MAX = 1024 * 1024
-"""Bytes of an answer that is read whole before any of it is passed on."""
+"""Maximum size in bytes of an answer that is read completely before any of it is sent on."""
 
 
 class AttemptError(Exception):
-    """An attempt brought no answer; `passed` is the upstream's own failure, if there is one.
+    """An attempt brought no answer; `passed` is the upstream's own error response, if any.
 
-    `broken_off` says that it ended as if the replica's process had ended.
+    `broken_off` means that it ended as if the replica's process had crashed.
     """
 
     def __init__(
@@ -40,15 +40,15 @@
         self.broken_off = broken_off
 
 
-class PauseError(AttemptError):
-    """Nothing came for as long as was waited, from a replica that may still go on."""
+class StalledError(AttemptError):
+    """Nothing arrived before the timeout, from a replica that may still go on."""
 
 
-class Reader:
-    """Reads one exchange with a replica's process; `ends_at` is when the client's time is over.
+class ResponseReader:
+    """Reads one exchange with a replica process; `ends_at` is the client's deadline.
 
-    A repeatable request does not wait for a connection that shows no sign of life; any other one
-    does, as long as the kernel does: its answer may still come.
+    A repeatable request doesn't wait on an unresponsive connection. Any other one does, for as long
+    as the kernel keeps the connection open: its answer may still arrive.
     """
 
     def __init__(
@@ -67,17 +67,19 @@
 
     async def read_head(self, wait: float) -> exchanges.Head:
         """Return status and headers within `wait` seconds; raises `AttemptError`."""
-        return await self._await_life(self._exchange.read_head, wait, attempts.Fault.NO_ANSWER)
+        return await self._read_while_alive(
+            self._exchange.read_head, wait, attempts.Fault.NO_ANSWER
+        )
 
     async def read_part(self, wait: float) -> bytes | None:
         """Return the next part of the body, or none at its end; raises `AttemptError`."""
-        return await self._await_life(self._exchange.read, wait, attempts.Fault.CUT)
+        return await self._read_while_alive(self._exchange.read, wait, attempts.Fault.CUT)
 
     async def read_whole(self) -> exchanges.Answer:
-        """Return the whole answer, before the client's time is over."""
+        """Return the complete answer, before the client's deadline."""
         whole = asyncio.ensure_future(self._exchange.read_all(WHOLE_MAX))
         try:
-            for seconds in (max(0.0, self._ends_at - clocks.now()), LAST_LOOK):
+            for seconds in (max(0.0, self._ends_at - clocks.now()), FINAL_READ_SECONDS):
                 await asyncio.wait([whole], timeout=seconds)
                 if whole.done():
                     return whole.result()
@@ -87,43 +89,44 @@
             whole.cancel()
         raise AttemptError(attempts.Fault.NO_ANSWER, 'not whole in time')
 
-    async def _await_life(
+    async def _read_while_alive(
         self, read: Callable[[], Awaitable[T]], wait: float, fault: attempts.Fault
     ) -> T:
-        """Return what `read` gives within `wait` seconds, from a replica that shows life."""
+        """Return the result of `read` within `wait` seconds, while the replica responds."""
         ends_at = clocks.now() + max(0.0, wait)
-        noted = looked = False
+        marked = overtime = False
         while True:
             left = ends_at - clocks.now()
             try:
-                async with asyncio.timeout(max(0.0, min(left, probing.SUSPECT_AFTER))):
-                    got = await read()
+                async with asyncio.timeout(max(0.0, min(left, probing.PROBE_AFTER))):
+                    result = await read()
             except TimeoutError as error:
-                if left <= probing.SUSPECT_AFTER:
-                    if looked:
-                        raise PauseError(fault, 'no answer in time') from error
-                    looked = True
-                    ends_at = clocks.now() + LAST_LOOK
+                if left <= probing.PROBE_AFTER:
+                    if overtime:
+                        raise StalledError(fault, 'no answer in time') from error
+                    overtime = True
+                    ends_at = clocks.now() + FINAL_READ_SECONDS
                     continue
-                if self._prober.has_started_again(self._life):
+                if self._prober.has_restarted(self._life):
                     text = 'the replica has started again'
                     raise AttemptError(fault, text, broken_off=True) from error
                 if self._prober.is_silent(self._life.id):
                     raise AttemptError(fault, 'the replica gives no sign of life') from error
                 if not self._exchange.is_silent:
-                    self._prober.suspect(self._life)
+                    self._prober.probe(self._life)
                     continue
-                if noted and self._repeatable:
+                if marked and self._repeatable:
                     raise AttemptError(fault, 'the connection has fallen silent') from error
-                noted = True
+                marked = True
                 self._exchange.note_silent()
-                # Asked on a new connection, and also if the replica was heard on another one.
-                self._prober.suspect(self._life, 0.0)
+                # The probe uses a new connection, and is sent even if the replica responded on
+                # another one.
+                self._prober.probe(self._life, 0.0)
             except exchanges.ExchangeError as error:
                 raise _convert(error, fault) from error
             else:
-                self._prober.note_heard(self._life)
-                return got
+                self._prober.record_contact(self._life)
+                return result
 
 
 def _convert(error: exchanges.ExchangeError, fault: attempts.Fault) -> AttemptError:
--- a/passpier/routing/relaying.py
+++ b/passpier/routing/relaying.py
@@ -1,9 +1,9 @@
-"""Passes on what is known of the registry, with the age of its proof, between processes.
+"""Relays registry changes between processes, with the age at which they were known to be complete.
 
-A few processes read the registry. Each of the others asks them in turn, several times a second,
-what has changed behind the revision that it knows, and reads for itself only if the answers have
-grown old. Now and then everybody asks anybody, so that whoever knows more is found, whatever is
-cut off.
+A few processes read the registry. Each of the others queries them in turn, several times a second,
+for changes after its own revision, and reads the registry itself only if the replies get too old.
+Now and then every process queries a random one, so that the newest state is found during any
+partition.
 """
 
 from __future__ import annotations
@@ -23,141 +23,151 @@
 
 log = logging.getLogger(__name__)
 
-ASK_INTERVAL = 0.25
-"""Seconds between two questions: a change is known everywhere well within a second."""
+QUERY_INTERVAL = 0.25
+"""Seconds between queries: a change must be known everywhere well within a second."""
 
-ASK_ANYBODY = 2
-"""Every how many rounds a process drawn at random is asked as well."""
+RANDOM_QUERY_ROUNDS = 2
+"""Number of rounds after which a random process is queried as well."""
 
 FALLBACK_AGE = 1.5
-"""Seconds of age from which a process reads for itself: sound readers' proofs are younger, and a
-replica that leaves must be known to do so within two seconds."""
+"""Age in seconds from which a process reads the registry itself: working readers keep it lower, and
+a leaving replica must be known as such within two seconds."""
 
 FALLBACK_SPREAD = 0.25
-"""Seconds over which the processes spread their falling back: the first that succeeds tells."""
+"""Seconds over which the processes spread that fallback: the first to succeed informs the
+others."""
 
 COMPRESS_FROM = 1000
-"""Bytes from which news are compressed: a large configuration must pass through a small link."""
+"""Size in bytes from which changes are compressed: a large configuration must fit through a slow
+link."""
 
 
 class Relay:
-    """One process's part in passing knowledge on."""
+    """Exchanges registry changes with peers."""
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        registry_state: knowledge.Knowledge,
         membership: members.Membership,
         link: peers.Peers,
         rng: random.Random,
     ) -> None:
-        self._known = known
+        self._registry_state = registry_state
         self._membership = membership
         self._peers = link
         self._rng = rng
         self._spread = rng.uniform(0, FALLBACK_SPREAD)
         self._rounds = 0
         self._reads = True
-        link.handle(messages.ProofWanted, self._answer)
-        link.handle(messages.Proof, self._take)
+        link.handle(messages.ProofWanted, self._handle_proof_wanted)
+        link.handle(messages.Proof, self._handle_proof)
 
     def is_reader(self, now: float) -> bool:
         """Return whether this process is one of those that read the registry."""
         return self._membership.own in readers.choose_readers(self._membership.list_serving(now))
 
     def should_read(self, now: float) -> bool:
-        """Return whether this process reads now, be it only because others tell it too little."""
-        age = self._known.freshness.compute_age(now)
+        """Return whether this process reads the registry: as a reader, or for lack of responses."""
+        age = self._registry_state.freshness.compute_age(now)
         reader = self.is_reader(now)
-        fallback = not self._known.is_ready() or self.compute_patience(now) < 0
+        fallback = not self._registry_state.is_ready() or self.compute_fallback_delay(now) < 0
         if (reader or fallback) != self._reads:
             self._reads = reader or fallback
             log.info(
-                'reads the registry' if self._reads else 'is told of the registry',
-                extra={'reader': reader, 'age': round(age, 3), 'revision': self._known.revision},
+                'reading the registry' if self._reads else 'following the registry through peers',
+                extra={
+                    'reader': reader,
+                    'age': round(age, 3),
+                    'revision': self._registry_state.revision,
+                },
             )
         return self._reads
 
-    def compute_patience(self, now: float) -> float:
-        """Return the seconds after which this process reads if it is told nothing until then."""
-        return FALLBACK_AGE + self._spread - self._known.freshness.compute_age(now)
+    def compute_fallback_delay(self, now: float) -> float:
+        """Return the seconds until this process reads the registry if it gets no response."""
+        return FALLBACK_AGE + self._spread - self._registry_state.freshness.compute_age(now)
 
     def count_sharers(self, now: float) -> float:
-        """Return how many processes share the calls of one reader when all have to read."""
+        """Return how many processes share the call rate of one reader when all have to read."""
         if self.is_reader(now):
             return 1.0
         return max(1.0, len(self._membership.list_alive(now)) / readers.LEAST)
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Query peers until cancelled."""
         while True:
-            await asyncio.sleep(ASK_INTERVAL * self._rng.uniform(0.9, 1.1))
+            await asyncio.sleep(QUERY_INTERVAL * self._rng.uniform(0.9, 1.1))
             now = clocks.now()
-            self._known.expire(now)
-            self.ask(now)
+            self._registry_state.expire(now)
+            self.send_queries(now)
 
-    def ask(self, now: float) -> None:
-        """Send this round's questions."""
+    def send_queries(self, now: float) -> None:
+        """Send the queries of one round."""
         self._rounds += 1
         addresses = set()
         serving = self._membership.list_serving(now)
         chosen = readers.choose_readers(serving)
         if self._membership.own not in chosen:
-            # A different one each time: some of them may be cut off without knowing it yet.
-            teller = readers.choose_teller(self._membership.own, chosen, self._rounds)
-            if teller is not None:
-                addresses.add(teller.peer)
-        if self._rounds % ASK_ANYBODY == 0:
+            # A different reader each time: some may be isolated without having noticed yet.
+            reader = readers.choose_teller(self._membership.own, chosen, self._rounds)
+            if reader is not None:
+                addresses.add(reader.peer)
+        if self._rounds % RANDOM_QUERY_ROUNDS == 0:
             addresses |= {m.peer for m in self._membership.choose_targets(self._rng, 1)}
-        known = self._known
-        question = messages.ProofWanted(now, known.revision, not known.is_ready())
-        self._peers.send_all(addresses, question)
+        state = self._registry_state
+        query = messages.ProofWanted(now, state.revision, not state.is_ready())
+        self._peers.send_all(addresses, query)
 
-    def _answer(self, sender: str, address: str, message: messages.ProofWanted) -> None:
+    def _handle_proof_wanted(
+        self, sender: str, address: str, message: messages.ProofWanted
+    ) -> None:
         now = clocks.now()
-        known = self._known
-        weights = [export_namings(m, n, now) for m, n in known.pools.namings.items()]
-        news = history.News((), False)
-        # Who knows nothing yet reads the registry itself, unless that has failed.
-        if known.revision > message.revision and (message.revision or message.wants_all):
-            news = known.export_since(message.revision)
+        state = self._registry_state
+        weights = [export_releases(m, n, now) for m, n in state.pools.namings.items()]
+        changes = history.ChangeSet((), False)
+        # A process that knows nothing yet reads the registry itself, unless that has failed.
+        if state.revision > message.revision and (message.revision or message.wants_all):
+            changes = state.export_since(message.revision)
         answer = messages.Proof(
             message.sent_at,
-            known.changed_at,
-            known.freshness.compute_age(now),
+            state.changed_at,
+            state.freshness.compute_age(now),
             weights,
             message.revision,
-            known.revision,
-            known.catalogue.list_awaited(now),
-            news.whole,
-            encode_items(news.items),
+            state.revision,
+            state.catalogue.list_awaited(now),
+            changes.whole,
+            encode_items(changes.items),
         )
         self._peers.send(address, answer)
 
-    def _take(self, sender: str, address: str, message: messages.Proof) -> None:
+    def _handle_proof(self, sender: str, address: str, message: messages.Proof) -> None:
         now = clocks.now()
-        known = self._known
+        state = self._registry_state
         if message.items or message.whole:
-            news = history.News(decode_items(message.items), message.whole)
-            changes = knowledge.Told(news, message.since, message.known_revision, message.awaited)
-            if not known.take_news(changes, now):
+            changes = history.ChangeSet(decode_items(message.items), message.whole)
+            peer_changes = knowledge.PeerChanges(
+                changes, message.since, message.known_revision, message.awaited
+            )
+            if not state.apply_peer_changes(peer_changes, now):
                 return
-        # The peer answered after the question was sent, so its ages count from there at the latest.
-        known.take_proof(message.revision, message.sent_at - message.age)
+        # The peer replied after the query was sent, so its ages count from that time at the latest.
+        state.apply_freshness(message.revision, message.sent_at - message.age)
         for named in message.weights:
-            told = [namings.Naming(v, message.sent_at - age) for v, age in named.ages]
-            known.pools.learn_namings(named.model, told)
+            releases = [namings.Naming(v, message.sent_at - age) for v, age in named.ages]
+            state.pools.merge_releases(named.model, releases)
 
 
-def export_namings(model: str, known: namings.Namings, now: float) -> messages.Named:
-    """Return what a peer is told of the named weights of a model."""
-    return messages.Named(model, [(n.version, now - n.not_before) for n in known.known])
+def export_releases(model: str, releases: namings.Namings, now: float) -> messages.Named:
+    """Return the releases of a model's weights in the form that peers are sent."""
+    return messages.Named(model, [(n.version, now - n.not_before) for n in releases.known])
 
 
 _decoder = msgspec.msgpack.Decoder(tuple[registry.Item, ...])
 
 
 def encode_items(items: tuple[registry.Item, ...]) -> bytes:
-    """Return items as bytes, compressed if that is worth it."""
+    """Return items as bytes, compressed if they are large."""
     if not items:
         return b''
     data = msgspec.msgpack.encode(items)
@@ -167,7 +177,7 @@
 
 
 def decode_items(data: bytes) -> tuple[registry.Item, ...]:
-    """Return the items that `encode_items` has made into bytes."""
+    """Return the items that `encode_items` encoded."""
     if not data:
         return ()
     body = zlib.decompress(data[1:]) if data[:1] == b'z' else data[1:]
--- a/passpier/routing/requests.py
+++ b/passpier/routing/requests.py
@@ -1,4 +1,4 @@
-"""A client's request with its rules, as the dispatcher takes it and as an upstream gets it."""
+"""A client's request with its route and account, and how dispatcher and upstream see it."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from passpier.routing import dialect, sources
 
 HOLD_SHARE = 0.5
-"""Part of a request's objective for which it may wait here for a replica."""
+"""Fraction of a request's objective for which it may be queued here for a replica."""
 
 
 class Admitted(msgspec.Struct, frozen=True, dict=True):
-    """A request with the rules that it falls under."""
+    """A request with the route and the account that apply to it."""
 
     ask: dialect.Ask
     route: routes.Route
@@ -28,14 +28,14 @@
 
     @property
     def priority(self) -> int:
-        """0 is the most urgent."""
+        """The priority; 0 is the most urgent."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
 
     @functools.cached_property
     def fingerprint(self) -> int:
-        """What names the request when it comes again, under whatever id."""
+        """A hash that identifies the request when it is sent again under another id."""
         ask = self.ask
         account = self.account.name if self.account is not None else ask.key or ''
         return fingerprints.compute_fingerprint(
@@ -44,7 +44,7 @@
 
     @property
     def ends_at(self) -> float:
-        """When the client, or the operator, no longer wants an answer."""
+        """When the client stops waiting, or the operator's timeout is reached."""
         patience = self.route.timeout
         if self.ask.patience is not None:
             patience = min(patience, self.ask.patience)
@@ -52,7 +52,7 @@
 
 
 def build_call(admitted: Admitted, service: str) -> calls.Call:
-    """Return a request as the dispatcher takes it."""
+    """Return the call to be dispatched for a request."""
     route = admitted.route
     prompt = admitted.ask.prompt
     priority = min(max(0, admitted.priority), replicas.LEAST_URGENT)
@@ -92,18 +92,18 @@
     replica: replicas.Replica,
     time_left: float,
     last_event: str,
-    known: sources.Sources,
+    cache_sources: sources.Sources,
     wire: dialect.Dialect,
     may_send: Callable[[], bool],
 ) -> exchanges.Request:
-    """Return one attempt as an upstream gets it; `time_left` is in seconds."""
+    """Return one attempt as it is sent to an upstream; `time_left` is in seconds."""
     ask = admitted.ask
     salt = ''
     source = sources.Source()
     if ask.prompt is not None:
-        # The salt names the weights that the replica has, and the same send asks for just those.
+        # The salt depends on the replica's weights, and the request asks for just these.
         salt = prompts.render_salt(admitted.account, ask.prompt.model, replica.weight_version)
-        source = known.choose(replica, job, ask.prompt, salt)
+        source = cache_sources.choose(replica, job, ask.prompt, salt)
     sending = dialect.Sending(
         replica.incarnation,
         replica.weight_version,
--- a/passpier/routing/roster.py
+++ b/passpier/routing/roster.py
@@ -1,6 +1,7 @@
-"""The router processes of a deployment: entries in the registry, heartbeats between processes.
+"""Tracks the router processes of a deployment, by registry entries and heartbeats.
 
-The registry says who exists. Heartbeats say who is alive, also while the registry is away.
+The registry lists which processes exist. Heartbeats show which are alive, also during a registry
+outage.
 """
 
 from __future__ import annotations
@@ -22,24 +23,26 @@
 HEARTBEAT = 0.5
 """Seconds between heartbeats."""
 
-FIRST_HEARTBEAT = 0.1
-"""The same, while no other process is known: until it is, little of a limited account is served."""
+DISCOVERY_HEARTBEAT = 0.1
+"""The same while no other process is known: until one is, this process serves only a small part of
+the requests of rate-limited accounts."""
 
 MEMBER_LEASE = 10.0
-"""Seconds after which the entry of a process that is gone vanishes; heartbeats notice much sooner,
-and each renewal is a priced call."""
+"""Seconds after which the entry of a process that is gone expires. Heartbeats detect that much
+sooner, and each renewal is a billed call."""
 
-MAX_TOLD = 128
-"""Processes taking requests beyond which nobody is told of single replicas: one tells all."""
+MAX_NOTIFIED = 128
+"""Maximum number of request-serving processes for messages about single replicas: each message goes
+to all of them, so that a larger fleet goes without."""
 
-RETRY = 0.5
-"""Seconds after which a failed call to the registry is made again."""
+RETRY_DELAY = 0.5
+"""Seconds before a failed call to the registry is retried."""
 
 _KEY = 'members/'
 
 
 class Roster:
-    """Announces this process and knows the others."""
+    """Announces this process and tracks the others."""
 
     def __init__(
         self,
@@ -51,8 +54,8 @@
     ) -> None:
         self.membership = members.Membership(own, HEARTBEAT, clocks.now())
         self.leaving = False
-        self.most = 1
-        """The most processes that were alive at once in this life."""
+        self.max_alive = 1
+        """The largest number of processes alive at once since this one started."""
 
         self._known = known
         self._peers = link
@@ -60,77 +63,79 @@
         self._prefix = known.records.own_prefix + _KEY
         self._meter = meter
         self._listed: set[str] = set()
-        self._refused = False
+        self._refuses = False
         self._lease = 0
-        self._ended = False
-        link.handle(messages.Heartbeat, self._take_heartbeat)
-        link.handle(messages.MembersWanted, self._send_members)
-        link.handle(messages.Members, self._take_members)
-        link.handle(messages.Goodbye, self._take_goodbye)
+        self._departed = False
+        link.handle(messages.Heartbeat, self._handle_heartbeat)
+        link.handle(messages.MembersWanted, self._handle_members_wanted)
+        link.handle(messages.Members, self._handle_members)
+        link.handle(messages.Goodbye, self._handle_goodbye)
 
     async def run_registration(self, source: registry.Registry) -> None:
         """Keep this process's entry alive until cancelled."""
-        while not self._ended:
+        while not self._departed:
             try:
                 await self._register(source)
             except registry.LeaseGoneError:
-                log.warning('own entry lapsed')
+                log.warning('own entry expired')
                 self._lease = 0
                 continue
             except exceptions.StoreError as error:
-                log.info('registration put off', extra={'error': str(error)})
-                await asyncio.sleep(RETRY)
+                log.info('registration failed, will be retried', extra={'error': str(error)})
+                await asyncio.sleep(RETRY_DELAY)
                 continue
             await asyncio.sleep(MEMBER_LEASE / 3)
 
     async def run_heartbeats(self) -> None:
-        """Beat until cancelled."""
+        """Send heartbeats until cancelled."""
         while True:
-            self.beat(self.membership.choose_targets(self._rng))
+            self.send_heartbeat(self.membership.choose_targets(self._rng))
             now = clocks.now()
             self.sync_registry(now)
             self.membership.forget_gone(now)
-            self.most = max(self.most, len(self.membership.list_alive(now)))
-            pause = HEARTBEAT if len(self.membership) > 1 else FIRST_HEARTBEAT
+            self.max_alive = max(self.max_alive, len(self.membership.list_alive(now)))
+            pause = HEARTBEAT if len(self.membership) > 1 else DISCOVERY_HEARTBEAT
             await asyncio.sleep(pause * self._rng.uniform(0.9, 1.1))
 
-    def tell_interested(self, message: messages.AnyMessage) -> None:
-        """Send a message about replicas or caches, unless too many would have to know."""
+    def notify_serving(self, message: messages.AnyMessage) -> None:
+        """Send a message to the peers that serve requests, unless there are too many of them."""
         interested = self.membership.list_interested(clocks.now())
-        if len(interested) <= MAX_TOLD:
+        if len(interested) <= MAX_NOTIFIED:
             self._peers.send_all([m.peer for m in interested], message)
 
     def begin_leaving(self) -> None:
-        """Tell everybody that no client should be sent here any more."""
+        """Announce that no client should be sent to this process any more."""
         self.leaving = True
-        self.beat(self.membership.list_known())
+        self.send_heartbeat(self.membership.list_known())
 
     def announce_departure(self) -> None:
-        """Tell all peers that this process ends."""
-        self._ended = True
+        """Announce to all peers that this process ends."""
+        self._departed = True
         known = [m.peer for m in self.membership.list_known()]
         self._peers.send_all(known, messages.Goodbye(self.membership.own.incarnation))
 
     async def end(self, source: registry.Registry) -> None:
-        """Take the own entry out of the registry."""
+        """Remove this process's entry from the registry."""
         if self._lease:
             try:
                 await source.end(self._lease)
             except exceptions.StoreError as error:
-                log.info('own entry is left to lapse', extra={'error': str(error)})
+                log.info('own entry not removed, will expire', extra={'error': str(error)})
 
     def choose_entries(self, query: dialect.Query, now: float, own_ready: bool) -> list[str]:
-        """Return the addresses that a client should use: near ones, if there are enough."""
+        """Return the addresses that a client should use: nearby ones, if there are enough."""
         serving = self.membership.list_serving(now)
         own = self.membership.own
         serving = [m for m in serving if m != own or (own_ready and not self.leaving)]
-        # While nobody is ready, as in a long outage of the registry, any live process will do.
+        # If no process is ready, as in a long registry outage, any live one is returned.
         serving = serving or self.membership.list_alive(now)
-        taken = self.membership.map_rates(serving)
-        return entries.choose_near(entries.choose_active(serving, taken), query.failure_domain)
+        request_rates = self.membership.map_rates(serving)
+        return entries.choose_near(
+            entries.choose_active(serving, request_rates), query.failure_domain
+        )
 
     def sync_registry(self, now: float) -> None:
-        """Take over the list of processes from the registry."""
+        """Apply the list of processes in the registry."""
         listed = set()
         for key, item in self._known.members.items():
             if not key.startswith(self._prefix):
@@ -138,29 +143,32 @@
             try:
                 member = msgspec.json.decode(item.data, type=members.Member)
             except msgspec.MsgspecError as error:
-                log.error('member entry skipped', extra={'key': key, 'error': str(error)})
+                log.error('invalid member entry ignored', extra={'key': key, 'error': str(error)})
                 continue
             listed.add(member.incarnation)
             if self.membership.add(member, now):
-                log.info('member listed', extra={'member': member.name, 'address': member.entry})
+                log.info(
+                    'member found in the registry',
+                    extra={'member': member.name, 'address': member.entry},
+                )
         for incarnation in self._listed - listed:
-            self._forget_lapsed(incarnation, now)
+            self._remove_expired(incarnation, now)
         self._listed = listed
 
-    def beat(self, targets: list[members.Member]) -> None:
+    def send_heartbeat(self, targets: list[members.Member]) -> None:
         """Send a heartbeat to some peers."""
         now = clocks.now()
         refuses = self.leaving or not self._known.freshness.is_fresh(now)
-        if refuses != self._refused:
-            self._refused = refuses
+        if refuses != self._refuses:
+            self._refuses = refuses
             age = round(self._known.freshness.compute_age(now), 3)
             log.info('ready' if not refuses else 'not ready', extra={'configuration_age': age})
         self.membership.advance(now, self._known.revision, 0, 0, refuses, self._meter.read(now))
-        beat = messages.Heartbeat(
+        heartbeat = messages.Heartbeat(
             self.membership.make_digest(self._rng, now), self._known.revision, 0
         )
         addresses = [m.peer for m in targets]
-        self._peers.send_all(addresses, beat)
+        self._peers.send_all(addresses, heartbeat)
 
     async def _register(self, source: registry.Registry) -> None:
         if self._lease:
@@ -172,29 +180,34 @@
         self._lease = lease
         log.info('own entry written', extra={'lease': lease})
 
-    def _forget_lapsed(self, incarnation: str, now: float) -> None:
-        """Drop a process whose entry vanished, unless its heartbeats still come."""
+    def _remove_expired(self, incarnation: str, now: float) -> None:
+        """Drop a process whose entry vanished, unless its heartbeats still arrive."""
         member = self.membership.get(incarnation)
         if member is None or member in self.membership.list_alive(now):
             return
         self.membership.remove(incarnation)
-        log.info('member gone', extra={'member': member.name})
+        log.info('member removed', extra={'member': member.name})
 
-    def _take_heartbeat(self, sender: str, address: str, message: messages.Heartbeat) -> None:
+    def _handle_heartbeat(self, sender: str, address: str, message: messages.Heartbeat) -> None:
         unknown = self.membership.merge(message.beats, clocks.now())
         if unknown:
             self._peers.send(address, messages.MembersWanted(unknown))
 
-    def _send_members(self, sender: str, address: str, message: messages.MembersWanted) -> None:
+    def _handle_members_wanted(
+        self, sender: str, address: str, message: messages.MembersWanted
+    ) -> None:
         wanted = message.incarnations
         found = [m for m in self.membership.list_known() if not wanted or m.incarnation in wanted]
         self._peers.send(address, messages.Members(found))
 
-    def _take_members(self, sender: str, address: str, message: messages.Members) -> None:
+    def _handle_members(self, sender: str, address: str, message: messages.Members) -> None:
         for member in message.members:
             if self.membership.add(member, clocks.now()):
-                log.info('member met', extra={'member': member.name, 'address': member.entry})
+                log.info(
+                    'member learnt from a peer',
+                    extra={'member': member.name, 'address': member.entry},
+                )
 
-    def _take_goodbye(self, sender: str, address: str, message: messages.Goodbye) -> None:
+    def _handle_goodbye(self, sender: str, address: str, message: messages.Goodbye) -> None:
         self.membership.remove(message.incarnation)
         log.info('member left', extra={'incarnation': message.incarnation})
--- a/passpier/routing/router.py
+++ b/passpier/routing/router.py
@@ -118,7 +118,7 @@
         self.counters = metrics.Metrics()
         self.pools = pools.Pools(options.version_bound)
         self.known = knowledge.Knowledge(adapter.records, self.pools, options.key_bound)
-        self.pools.on_ended = lambda replica: adapter.pool.close_resting(replica.address)
+        self.pools.on_process_ended = lambda replica: adapter.pool.close_resting(replica.address)
         self.known.on_refused = lambda kind: self.counters.refused_records.inc({'kind': kind})
         incarnation = uuid_utils.uuid7().hex
         self.peers = peers.Peers(incarnation, options.ip, options.peer_port, self.counters)
@@ -134,7 +134,7 @@
         self.meter = rates.Meter(clocks.now())
         self.roster = roster.Roster(own, self.known, self.peers, self.meter, rng)
         self.relay = relaying.Relay(self.known, self.roster.membership, self.peers, rng)
-        self.follower = following.Follower(adapter.source, self.known, self.relay, rng)
+        self.follower = following.RegistryFollower(adapter.source, self.known, self.relay, rng)
         self.rollouts = rollouts.Rollouts(
             adapter.source,
             self.known,
@@ -145,7 +145,7 @@
             options,
             rng,
         )
-        self.keeper = keeping.Keeper(
+        self.cache_store_follower = keeping.CacheStoreFollower(
             self.pools,
             adapter.engines,
             self.roster,
@@ -156,22 +156,22 @@
         self.sharing = sharing.Sharing(
             sources.Sources(self.pools), self.roster.membership, self.peers
         )
-        self.prober = probing.Prober(self.known, adapter.engines, self.roster.tell_interested)
-        self.peers.handle(messages.Silent, self._take_silent)
+        self.prober = probing.Prober(self.known, adapter.engines, self.roster.notify_serving)
+        self.peers.handle(messages.Silent, self._handle_silent)
         membership = self.roster.membership
         self.suspects = suspects.Suspects(
             membership, self.peers, self.prober.has_ended, lambda: membership.choose_targets(rng)
         )
         self.marks = marks.Marks(adapter.source, self.known, self.suspects, incarnation)
-        self.limiter = limiting.Limiter(
+        self.limiter = limiting.RateLimiter(
             self.known, membership, self.peers, options.rate_tolerance, rng
         )
         self.throttling = throttling.Throttling(
-            self.pools, membership, self.peers, self.roster.tell_interested, rng
+            self.pools, membership, self.peers, self.roster.notify_serving, rng
         )
-        self.pools.on_signal = self.throttling.note_signal
+        self.pools.on_signal = self.throttling.handle_signal
         self.pools.on_leaving = self._tell_departing
-        self.peers.handle(messages.Departing, self._take_departing)
+        self.peers.handle(messages.Departing, self._handle_departing)
         # Nobody asks this process for decisions: they are in its log.
         places = dispatcher.Dispatcher(self.pools, self.counters, rng, decisions_kept=0)
         self.forwarder = forwarding.Forwarder(
@@ -219,7 +219,7 @@
             tasks.start(self._note_turns()),
             tasks.start(resuming.watch(self.counters, self._resume)),
             tasks.start(self._run_upkeep()),
-            tasks.start(self.keeper.run()),
+            tasks.start(self.cache_store_follower.run()),
             tasks.start(self.sharing.run()),
             tasks.start(self.loads.run()),
             tasks.start(self.suspects.run()),
@@ -324,14 +324,14 @@
         fresh = self.known.freshness.is_fresh(now)
         return self.known.is_ready() and fresh and not self.roster.leaving
 
-    def _take_silent(self, sender: str, address: str, message: messages.Silent) -> None:
-        self.prober.suspect(message.life)
+    def _handle_silent(self, sender: str, address: str, message: messages.Silent) -> None:
+        self.prober.probe(message.life)
 
     def _tell_departing(self, life: lives.Life) -> None:
-        self.roster.tell_interested(messages.Departing(life.id, life.born))
+        self.roster.notify_serving(messages.Departing(life.id, life.born))
 
-    def _take_departing(self, sender: str, address: str, message: messages.Departing) -> None:
-        self.pools.note_leaving(message.life, sender)
+    def _handle_departing(self, sender: str, address: str, message: messages.Departing) -> None:
+        self.pools.mark_leaving(message.life, sender)
 
     def _takes(self) -> bool:
         return self._drain.takes(clocks.now())
@@ -355,14 +355,14 @@
         """Take up work after the VM was suspended."""
         # The other sides may have closed these meanwhile.
         self.adapter.pool.close()
-        self.roster.beat(self.roster.membership.list_known())
+        self.roster.send_heartbeat(self.roster.membership.list_known())
 
     async def _run_upkeep(self) -> None:
         while True:
             await asyncio.sleep(UPKEEP_INTERVAL)
             self.adapter.pool.close_expired()
             young = clocks.now() - self._started_at < YOUNG_SECONDS
-            self.forwarder.daemons = max(self.roster.most, DAEMONS_AT_START if young else 1)
+            self.forwarder.daemons = max(self.roster.max_alive, DAEMONS_AT_START if young else 1)
 
     def _listen(self) -> list[tornado.httpserver.HTTPServer]:
         """Open all ports; raises `OSError`, with the peers' sockets closed, if one is taken."""
--- a/passpier/routing/sources.py
+++ b/passpier/routing/sources.py
@@ -1,4 +1,4 @@
-"""Where an engine finds the parts of a prompt that it lacks, and where it leaves its own."""
+"""Chooses where an engine fetches cached prompt parts that it lacks, and where it saves its own."""
 
 from __future__ import annotations
 
@@ -11,48 +11,48 @@
 from passpier.core import choice, kept, lives, prompts, rendezvous, replicas, view
 from passpier.routing import pools
 
-READ_FRESH = 3.0
-"""Seconds for which parts that a replica has read are sure to be in its memory: it takes in a fifth
-to a tenth of its memory each second under full load."""
+IN_MEMORY_SECONDS = 3.0
+"""Seconds for which parts that a replica has processed are certainly in its memory: it replaces a
+tenth to a fifth of its memory each second under full load."""
 
-NOBODY = (lives.Life(''), float('-inf'))
-"""The reader of a part that nobody has read, and when."""
+NO_READER = (lives.Life(''), float('-inf'))
+"""The last reader of a part that no replica has processed, and when."""
 
-READERS_KEPT = 20_000
-"""Parts for which the last reader is remembered."""
+READERS_MAX = 20_000
+"""Maximum number of parts for which the last reader is kept."""
 
 
 class Source(msgspec.Struct, frozen=True):
-    """Where an engine finds cache that it lacks, and where it leaves what it has computed."""
+    """The addresses where an engine fetches cached parts, and saves what it computes."""
 
     fetch: str = ''
     save: str = ''
 
 
 class Sources:
-    """Which replicas and cache stores have read or kept which parts."""
+    """Tracks which replicas and cache stores hold which prompt parts."""
 
-    def __init__(self, known: pools.Pools) -> None:
-        self.pools = known
+    def __init__(self, replica_pools: pools.Pools) -> None:
+        self.pools = replica_pools
         self._readers: collections.OrderedDict[int, tuple[lives.Life, float]] = (
             collections.OrderedDict()
         )
-        """By the last shared part of prompts: who read it last, and when."""
+        """By the last shared part of prompts, the last replica process to read it, and when."""
 
     def choose(
         self, replica: replicas.Replica, job: choice.Job, prompt: prompts.Prompt, salt: str
     ) -> Source:
-        """Return where a replica finds parts that it lacks, and where it should leave its own."""
+        """Return where a replica fetches the parts it lacks, and where it saves its own."""
         now = clocks.now()
         recent = self._find_recent_reader(replica, job, now)
         store = self._choose_store(replica, choice.get_family(job))
-        held = self.pools.stores.get(store)
-        if held is None:
+        store_contents = self.pools.stores.get(store)
+        if store_contents is None:
             return Source(recent or self._find_holder(replica, job))
         shared = [kept.identify(salt, p.name) for p in prompt.parts[:-1]]
-        if held.holds_all(shared, now):
+        if store_contents.holds_all(shared, now):
             return Source(recent or store)
-        held.note_saving(shared, now)
+        store_contents.note_saving(shared, now)
         return Source(recent or self._find_holder(replica, job) or store, store)
 
     def note_read(
@@ -73,19 +73,19 @@
         last = chain[shared - 1]
         self._readers[last] = (life, now)
         self._readers.move_to_end(last)
-        while len(self._readers) > READERS_KEPT:
+        while len(self._readers) > READERS_MAX:
             self._readers.popitem(last=False)
 
     def _find_recent_reader(self, replica: replicas.Replica, job: choice.Job, now: float) -> str:
-        """Return the address of the replica that has read a prompt's shared parts last.
+        """Return the address of the replica that last processed a prompt's shared parts.
 
-        Its link is many times as fast as that of a cache store, and what it read moments ago is
-        still there.
+        Its link is many times faster than that of a cache store, and what it processed moments ago
+        is still in its memory.
         """
         shared = job.chain[:-1]
-        life, read_at = self._readers.get(shared[-1], NOBODY) if shared else NOBODY
+        life, read_at = self._readers.get(shared[-1], NO_READER) if shared else NO_READER
         other = self.pools.find(life)
-        if other is None or other is replica or now - read_at > READ_FRESH:
+        if other is None or other is replica or now - read_at > IN_MEMORY_SECONDS:
             return ''
         is_silent = other.name in self.pools.silent
         usable = not other.leaving and now >= other.paused_until and not is_silent
@@ -93,14 +93,14 @@
         return other.address if usable and same else ''
 
     def _choose_store(self, replica: replicas.Replica, family: str) -> str:
-        """Return the cache store for a family: near the replica that is the family's home."""
+        """Return the cache store for a prompt family, near the family's home replica."""
         names = self.pools.list_siblings(replica.name)
         home = max(names, key=lambda name: rendezvous.compute_weight(family, name))
         domain = self.pools.replicas.get(home, replica).failure_domain
         return self.pools.stores.choose(family, domain)
 
     def _find_holder(self, replica: replicas.Replica, job: choice.Job) -> str:
-        """Return the address of the replica that holds most of a prompt, if it is another one."""
+        """Return the address of the replica that caches most of a prompt, unless it is this one."""
         now = clocks.now()
         cache = self.pools.cache
         own = cache.match(replica.name, job.chain, now).blocks
--- a/passpier/tests/routing/fleets.py
+++ b/passpier/tests/routing/fleets.py
@@ -142,7 +142,7 @@
             self.run(process)
 
     def run(self, process: Process) -> None:
-        follower = following.Follower(process.view, process.known, process.relay, self.rng)  # type: ignore[arg-type]
+        follower = following.RegistryFollower(process.view, process.known, process.relay, self.rng)  # type: ignore[arg-type]
         self.tasks[process.membership.own.name] = [
             asyncio.ensure_future(process.relay.run()),
             asyncio.ensure_future(follower.run()),
--- a/passpier/tests/routing/keeping_tests.py
+++ b/passpier/tests/routing/keeping_tests.py
@@ -1,4 +1,4 @@
-"""What cache stores hold, read by one process and told to the others."""
+"""Cache store events, read by one process and sent to the others."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Engines:
-    """Stores with a long list of events."""
+    """Stores with many events."""
 
     def __init__(self) -> None:
         self.events = [dialect.CacheChange(True, 's', f'p{n}') for n in range(5000)]
@@ -29,39 +29,41 @@
 
 
 class Link:
-    """Keeps handlers and what was told."""
+    """Keeps handlers and the messages sent."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Any] = {}
-        self.told: list[messages.Kept] = []
+        self.sent: list[messages.Kept] = []
 
     def handle(self, kind: type, handler: Any) -> None:
         self.handlers[kind] = handler
 
-    def tell_interested(self, message: messages.Kept) -> None:
-        self.told.append(message)
+    def notify_serving(self, message: messages.Kept) -> None:
+        self.sent.append(message)
 
 
-def make_keeper(engines: Engines, reads: list[bool]) -> tuple[keeping.Keeper, Link, pools.Pools]:
+def make_follower(
+    engines: Engines, reads: list[bool]
+) -> tuple[keeping.CacheStoreFollower, Link, pools.Pools]:
     known = pools.Pools(10.0)
     store = routes.CacheStore(STORE, 'd0', 1000)
     known.apply_configuration(routes.Configuration(1, cache_stores=(store,)))
     link = Link()
-    keeper = keeping.Keeper(
+    follower = keeping.CacheStoreFollower(
         known, cast(Any, engines), cast(Any, link), cast(Any, link), lambda: reads[0]
     )
-    return keeper, link, known
+    return follower, link, known
 
 
 def test_a_successor_goes_on_where_its_predecessor_ended() -> None:
     async def run() -> None:
         engines = Engines()
-        first, told, _ = make_keeper(engines, [True])
+        first, sent, _ = make_follower(engines, [True])
         reads = [False]
-        second, successor, known = make_keeper(engines, reads)
+        second, successor, known = make_follower(engines, reads)
         tasks = [asyncio.ensure_future(first.run()), asyncio.ensure_future(second.run())]
         await asyncio.sleep(1.0)
-        for message in told.told:
+        for message in sent.sent:
             successor.handlers[messages.Kept]('first', 'a:1', message)
         held = known.stores.get(STORE)
         assert held is not None
@@ -74,7 +76,7 @@
         tasks[1].cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         assert min(engines.asked) == 5000
-        assert [len(m.added) for m in successor.told] == [1]
+        assert [len(m.added) for m in successor.sent] == [1]
         assert held.holds_all([kept.identify('s', 'new')], 0.0)
 
     virtual.run(run())
--- a/passpier/tests/routing/knowledge_tests.py
+++ b/passpier/tests/routing/knowledge_tests.py
@@ -21,8 +21,10 @@
 
 
 def tell(known: knowledge.Knowledge, revision: int, *items: registry.Item) -> None:
-    news = history.News(items, False)
-    assert known.take_news(knowledge.Told(news, known.revision, revision, {}), NOW)
+    changes = history.ChangeSet(items, False)
+    assert known.apply_peer_changes(
+        knowledge.PeerChanges(changes, known.revision, revision, {}), NOW
+    )
 
 
 @pytest.mark.parametrize('known_before', [False, True])
@@ -34,15 +36,15 @@
     """
     known = make_knowledge()
     if known_before:
-        known.take_reading(registry.Reading((CONFIGURATION, READY, HOLDER), 95, NOW), NOW)
+        known.apply_listing(registry.Reading((CONFIGURATION, READY, HOLDER), 95, NOW), NOW)
         tell(known, 103, DRAINING)
         tell(known, 104, GONE)
         tell(known, 105, registry.Item(HOLDER.key, b'', 105, removed=True))
     else:
-        told = knowledge.Told(history.News((CONFIGURATION,), True), 0, 105, {})
-        assert known.take_news(told, NOW)
+        told = knowledge.PeerChanges(history.ChangeSet((CONFIGURATION,), True), 0, 105, {})
+        assert known.apply_peer_changes(told, NOW)
     late = registry.Reading((CONFIGURATION, READY, HOLDER), 100, NOW)
-    known.take_reading(late, NOW + 0.2)
+    known.apply_listing(late, NOW + 0.2)
     assert 'r1' not in known.pools.replicas
     assert not known.members
     assert known.revision == 105
@@ -51,6 +53,6 @@
 
 def test_a_late_reading_takes_over_what_nobody_has_told() -> None:
     known = make_knowledge()
-    known.take_reading(registry.Reading((CONFIGURATION,), 80, NOW), NOW)
-    known.take_reading(registry.Reading((CONFIGURATION, READY), 100, NOW), NOW)
+    known.apply_listing(registry.Reading((CONFIGURATION,), 80, NOW), NOW)
+    known.apply_listing(registry.Reading((CONFIGURATION, READY), 100, NOW), NOW)
     assert 'r1' in known.pools.replicas
--- a/passpier/tests/routing/limiting_tests.py
+++ b/passpier/tests/routing/limiting_tests.py
@@ -36,7 +36,7 @@
         table = types.SimpleNamespace(rates=rates)
         known = cast(knowledge.Knowledge, types.SimpleNamespace(table=table))
         tolerance = buckets.Tolerance(8.0, 0.1, 110_000)
-        self.limiter = limiting.Limiter(
+        self.limiter = limiting.RateLimiter(
             known, self.membership, link, tolerance, random.Random(number)
         )
 
@@ -108,7 +108,7 @@
         newcomer = fleet.processes[-1]
         began = clocks.now()
         assert await newcomer.limiter.charge('r', 'acme', 60_000, 10.0) == 0.0
-        assert clocks.now() - began < limiting.ASK_SECONDS
+        assert clocks.now() - began < limiting.CONTACT_TIMEOUT
         fleet.end()
 
     virtual.run(play())
--- a/passpier/tests/routing/lives_tests.py
+++ b/passpier/tests/routing/lives_tests.py
@@ -92,7 +92,7 @@
         self.rollouts = rollouts.Rollouts(
             cast(registry.Registry, None),
             self.known,
-            cast(following.Follower, None),
+            cast(following.RegistryFollower, None),
             cast(roster.Roster, rollouts_tests.Roster()),
             cast(dialect.Engines, None),
             link,
@@ -118,7 +118,7 @@
 
     def happen(process: Process) -> None:
         told = dialect.Report({MODEL: version}, False, 1, 0, 0, life.born)
-        process.known.take_report(process.pools.get(ID).life, told)
+        process.known.apply_report(process.pools.get(ID).life, told)
 
     return happen
 
@@ -129,18 +129,18 @@
 
 def loaded(life: lives.Life, version: int) -> Event:
     message = messages.Loaded(ID, version, version, life.born)
-    return lambda process: process.rollouts._take_loaded(PEER, 'p:1', message)
+    return lambda process: process.rollouts._handle_loaded(PEER, 'p:1', message)
 
 
 def loading(life: lives.Life, version: int) -> Event:
     message = messages.Loading(ID, 100.0, version, life.born)
-    return lambda process: process.rollouts._take_loading(PEER, 'p:1', message)
+    return lambda process: process.rollouts._handle_loading(PEER, 'p:1', message)
 
 
 def placed(life: lives.Life, version: int) -> Event:
     job = make_job()
     rows = [(ID, life.born, str(version), job.chain, list(job.ends))]
-    return lambda process: process.sharing._take(PEER, 'p:1', messages.Placed(rows))
+    return lambda process: process.sharing._handle_placed(PEER, 'p:1', messages.Placed(rows))
 
 
 def load(life: lives.Life, _: int) -> Event:
@@ -157,7 +157,7 @@
 
 
 def replaced(life: lives.Life, _: int) -> Event:
-    return lambda process: process.pools.note_replaced(life)
+    return lambda process: process.pools.mark_replaced(life)
 
 
 def leave(life: lives.Life, version: int) -> Event:
@@ -298,7 +298,7 @@
     engines.versions[ID] = 1
     engines.born[ID] = OLD.born
     engines.counted[ID] = 4
-    known = fleet.rollouts._known
+    known = fleet.rollouts._registry_state
     known.catalogue.put(make_entry(OLD, 1))
     fleet.pools.apply_change(catalogue.Change(ID, make_entry(OLD, 1), 'recorded'))
     return fleet, engines
@@ -329,7 +329,9 @@
         asyncio.get_running_loop().call_later(delay, engines.restart, ID)
         task = asyncio.ensure_future(fleet.rollouts.run_orders())
         await asyncio.sleep(delay + 0.05)
-        change = fleet.rollouts._known.catalogue.put(make_entry(NEW, 1)) if recorded else None
+        change = (
+            fleet.rollouts._registry_state.catalogue.put(make_entry(NEW, 1)) if recorded else None
+        )
         if change is not None:
             fleet.pools.apply_change(change)
         await asyncio.sleep(3.0)
@@ -345,12 +347,12 @@
 def test_a_load_that_the_process_before_took_does_not_count() -> None:
     """The late word of a peer made a replica with older weights look up to date."""
     fleet, _ = build_fleet()
-    known = fleet.rollouts._known
+    known = fleet.rollouts._registry_state
     change = known.catalogue.put(make_entry(NEW, 1))
     assert change is not None
     fleet.pools.apply_change(change)
     loaded_before = messages.Loaded(ID, 9, 9, OLD.born)
-    fleet.rollouts._take_loaded(PEER, 'p:1', loaded_before)
+    fleet.rollouts._handle_loaded(PEER, 'p:1', loaded_before)
     assert fleet.pools.get(ID).weight_version == '1'
     state = fleet.pools.list_states()[0]
     assert state.versions == {MODEL: 1}
@@ -363,11 +365,13 @@
     async def check() -> None:
         fleet, engines = build_fleet()
         told: list[messages.Silent] = []
-        prober = probing.Prober(fleet.rollouts._known, cast(dialect.Engines, engines), told.append)
+        prober = probing.Prober(
+            fleet.rollouts._registry_state, cast(dialect.Engines, engines), told.append
+        )
         fleet.pools.silent.add(ID)
         fleet.pools.pause(OLD, pauses.Pause.SILENT, 100.0, 'gives no answer')
         engines.restart(ID)
-        prober.suspect(OLD, 0.0)
+        prober.probe(OLD, 0.0)
         await asyncio.sleep(0.1)
         assert fleet.pools.get(ID).life == NEW
         assert not prober.is_silent(ID)
@@ -394,11 +398,11 @@
     async def check() -> None:
         fleet, engines = build_fleet()
         prober = probing.Prober(
-            fleet.rollouts._known, cast(dialect.Engines, engines), lambda _: None
+            fleet.rollouts._registry_state, cast(dialect.Engines, engines), lambda _: None
         )
         exchange = cast(exchanges.Exchange, SilentExchange())
         started = clocks.now()
-        reader = reading.Reader(exchange, prober, OLD, started + 60.0, False)
+        reader = reading.ResponseReader(exchange, prober, OLD, started + 60.0, False)
         engines.restart(ID)
         with pytest.raises(reading.AttemptError) as raised:
             await reader.read_head(60.0)
@@ -434,16 +438,16 @@
     async def check() -> None:
         fleet, engines = build_fleet()
         prober = probing.Prober(
-            fleet.rollouts._known, cast(dialect.Engines, engines), lambda _: None
+            fleet.rollouts._registry_state, cast(dialect.Engines, engines), lambda _: None
         )
         engines.restart(ID)
-        prober.note_other_weights(OLD, '1')
+        prober.note_version_mismatch(OLD, '1')
         await asyncio.sleep(0.3)
-        prober.note_other_weights(OLD, '1')
+        prober.note_version_mismatch(OLD, '1')
         await asyncio.sleep(0.2)
         assert fleet.pools.get(ID).life == OLD
         await asyncio.sleep(1.0)
-        prober.note_other_weights(OLD, '1')
+        prober.note_version_mismatch(OLD, '1')
         await asyncio.sleep(0.2)
         assert fleet.pools.get(ID).life == NEW
 
@@ -462,10 +466,10 @@
     async def check() -> None:
         fleet, _ = build_fleet()
         engines = cast(dialect.Engines, LateEngines())
-        prober = probing.Prober(fleet.rollouts._known, engines, lambda _: None)
-        prober.suspect(OLD, 0.0)
+        prober = probing.Prober(fleet.rollouts._registry_state, engines, lambda _: None)
+        prober.probe(OLD, 0.0)
         await asyncio.sleep(0.1)
-        change = fleet.rollouts._known.catalogue.put(make_entry(NEW, 1))
+        change = fleet.rollouts._registry_state.catalogue.put(make_entry(NEW, 1))
         assert change is not None
         fleet.pools.apply_change(change)
         fleet.pools.silent.add(ID)
--- a/passpier/tests/routing/marks_tests.py
+++ b/passpier/tests/routing/marks_tests.py
@@ -1,4 +1,4 @@
-"""Records of ends in the registry, for processes that no peer can tell."""
+"""Crash records in the registry, for processes that no peer can tell."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
     def read(self) -> crashes.Crashes:
         self.known.members.update(self.source.items)
-        self.marks.take_records()
+        self.marks.apply_records()
         return self.suspects.crashes
 
 
--- a/passpier/tests/routing/pools_tests.py
+++ b/passpier/tests/routing/pools_tests.py
@@ -31,8 +31,8 @@
     routers counted the replica's time from 9: only the newest naming was kept, with its own time.
     The times in the log proved it: 10.6 seconds since 8 was known, 5.0 since 9.
     """
-    known.note_naming('m', 8, 100.0, 100.0)
-    known.note_naming('m', 9, 105.5, 105.5)
+    known.record_release('m', 8, 100.0, 100.0)
+    known.record_release('m', 9, 105.5, 105.5)
     known.learn_version(lives.Life('r0'), 7, 'registry')
     known.learn_version(lives.Life('r1'), 8, 'registry')
     known.learn_version(lives.Life('r2'), 9, 'registry')
@@ -74,7 +74,7 @@
     known: pools.Pools, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A request waits at its replica; the bound is on when it begins, not on when it is sent."""
-    known.note_naming('m', 2, 100.0, 100.0)
+    known.record_release('m', 2, 100.0, 100.0)
     busy = known.get('r0')
     monkeypatch.setattr(clocks, 'now', lambda: 108.0)
     for number in range(4):
--- a/passpier/tests/routing/relaying_tests.py
+++ b/passpier/tests/routing/relaying_tests.py
@@ -192,17 +192,17 @@
     for number in range(1, 10):
         kept.note(registry.Item(f'k{number}', b'x', number))
     kept.note(registry.Item('k3', b'', 10, removed=True))
-    news = kept.list_since(9)
-    assert news == history.News((registry.Item('k3', b'', 10, removed=True),), False)
+    changes = kept.list_since(9)
+    assert changes == history.ChangeSet((registry.Item('k3', b'', 10, removed=True),), False)
     kept.begin(10)
-    news = kept.list_since(9)
-    assert news.whole
-    assert {i.key for i in news.items} == {f'k{n}' for n in range(1, 10)} - {'k3'}
+    changes = kept.list_since(9)
+    assert changes.whole
+    assert {i.key for i in changes.items} == {f'k{n}' for n in range(1, 10)} - {'k3'}
 
 
 def test_many_removals_are_forgotten_in_time_and_then_all_is_told() -> None:
     kept = history.History()
-    for number in range(1, history.REMOVALS_KEPT + 10):
+    for number in range(1, history.MAX_REMOVALS + 10):
         kept.note(registry.Item(f'k{number}', b'', number, removed=True))
     assert kept.list_since(5).whole
     assert not kept.list_since(9).whole
@@ -219,9 +219,9 @@
         await asyncio.sleep(3.0)
         known = fleet.processes[0].known
         proved_at = known.freshness.proved_at
-        assert not known.take_proof(known.revision + 1, clocks.now())
-        told = knowledge.Told(history.News((), False), known.revision + 1, 99, {})
-        assert not known.take_news(told, 0.0)
+        assert not known.apply_freshness(known.revision + 1, clocks.now())
+        told = knowledge.PeerChanges(history.ChangeSet((), False), known.revision + 1, 99, {})
+        assert not known.apply_peer_changes(told, 0.0)
         assert known.freshness.proved_at == proved_at
 
     fleets.play(4, 6, check)
--- a/passpier/tests/routing/rollouts_tests.py
+++ b/passpier/tests/routing/rollouts_tests.py
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.told: list[messages.Message] = []
 
-    def tell_interested(self, message: messages.Message) -> None:
+    def notify_serving(self, message: messages.Message) -> None:
         self.told.append(message)
 
 
@@ -72,7 +72,7 @@
         self.rollouts = rollouts.Rollouts(
             cast(registry.Registry, None),
             known,
-            cast(following.Follower, None),
+            cast(following.RegistryFollower, None),
             cast(roster.Roster, self.roster),
             cast(dialect.Engines, self.engines),
             cast(peers.Peers, link),
@@ -93,12 +93,12 @@
     def lose_and_win(self, token: int) -> None:
         """Lose the right to give orders and win it again at once, as its own successor."""
         before = self.rollouts.holder.token
-        self.rollouts._lose('the lease lapsed')
+        self.rollouts._drop_lease('the lease lapsed')
         self.elect(token, before)
 
     def name(self, version: int) -> None:
         now = clocks.now()
-        self.pools.note_naming(MODEL, version, now, now)
+        self.pools.record_release(MODEL, version, now, now)
 
 
 class Options:
--- a/passpier/tests/routing/sources_tests.py
+++ b/passpier/tests/routing/sources_tests.py
@@ -95,5 +95,5 @@
     known.pools.silent.add('r6')
     assert choose(known, 'r0', 'f').fetch == store
     note_read(known, 'r7', job)
-    monkeypatch.setattr(clocks, 'now', lambda: 100.0 + sources.READ_FRESH + 0.1)
+    monkeypatch.setattr(clocks, 'now', lambda: 100.0 + sources.IN_MEMORY_SECONDS + 0.1)
     assert choose(known, 'r0', 'f').fetch == store
--- a/passpier/tests/routing/throttling_tests.py
+++ b/passpier/tests/routing/throttling_tests.py
@@ -46,7 +46,7 @@
         self.throttling = throttling.Throttling(
             self.pools, self.membership, self.link, self.tell, random.Random(number)
         )
-        self.pools.on_signal = self.throttling.note_signal
+        self.pools.on_signal = self.throttling.handle_signal
 
     def start_replica(self, life: lives.Life) -> None:
         entry = catalogue.Entry(life.id, 'app', 'a:1', 'd0', 8, False, {}, life.born)
@@ -216,7 +216,7 @@
         fleet.processes[0].hear(LIMITED)
         await asyncio.sleep(0.1)
         idle = [p for p in fleet.processes if not p.rate]
-        await asyncio.sleep(throttling.CHECK_AFTER - 1.0)
+        await asyncio.sleep(throttling.PROBE_AFTER - 1.0)
         assert not any(replicas.is_open(p.replica, clocks.now()) for p in idle)
         opened = set()
         for _ in range(100):
