--- a/passpier/routing/answering.py
+++ b/passpier/routing/answering.py
@@ -1,4 +1,4 @@
-"""The client's side of a request, as the forwarder sees it."""
+"""The client's side of a request, as the forwarder uses it, and the router's own responses."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """An answer of our own; `retry_after` is in seconds."""
+    """A response of the router itself; `retry_after` is in seconds."""
 
     status: int
     reason: str
-    """A stable word for logs and metrics."""
+    """A stable identifier for logs and metrics."""
 
     message: str
     retry_after: float | None = None
 
 
 class ClientGoneError(Exception):
-    """The client has closed its connection: nothing more is to be done for it."""
+    """The client has closed its connection, so that the request needs no further work."""
 
 
 class Client(Protocol):
-    """Takes the answer of one request."""
+    """Receives the response to one request."""
 
     @property
     def gone(self) -> bool:
-        """Whether the client has closed its connection, as far as it has reached this VM."""
+        """Whether the client has closed its connection, as far as this VM has been notified."""
 
     @property
     def started(self) -> bool:
-        """Whether the head of an answer is out."""
+        """Whether the head of a response has been sent."""
 
     async def begin(
         self, status: int, reason: str, headers: Sequence[tuple[str, str]], length: int | None
@@ -45,17 +45,17 @@
         """Send the head; without a length the body comes in chunks."""
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body; waits while the client does not read."""
+        """Send a part of the body; waits for a client that reads slowly."""
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """End the response as complete."""
 
     def abort(self) -> None:
-        """End the connection, so that the answer cannot look complete."""
+        """Close the connection, so that the response can't look complete."""
 
 
 async def write_refusal(client: Client, refusal: Refusal, id_header: str, id: str) -> None:
-    """Send an answer of our own."""
+    """Send a response of the router itself."""
     headers = [('Content-Type', 'application/json')]
     if id:
         headers.append((id_header, id))
@@ -75,10 +75,10 @@
     await _write(client, refusal.status, '', headers, body)
 
 
-async def write_whole(
+async def write_response(
     client: Client, head: exchanges.Head, headers: Sequence[tuple[str, str]], body: bytes
 ) -> None:
-    """Hand an upstream's whole answer on, with these headers."""
+    """Send an upstream's complete response, with these headers."""
     await _write(client, head.status, head.reason, headers, body)
 
 
--- a/passpier/routing/clients.py
+++ b/passpier/routing/clients.py
@@ -1,4 +1,4 @@
-"""The open connections of clients: how many there may be, and which goes if there are too many."""
+"""Limits the number of open client connections by closing the longest idle ones."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 
 
 class Unread(enum.Enum):
-    """What has come on a connection that the event loop has not read yet."""
+    """What has arrived on a connection that the event loop has not read yet."""
 
     NOTHING = 'nothing'
     BYTES = 'bytes'
     END = 'end'
-    """The client has closed; or its sending side, after which no answer is owed."""
+    """The client has closed the connection or its sending side; no response is expected any
+    more."""
 
 
-def _rests(stream: tornado.iostream.IOStream) -> bool:
-    """Return whether no request has come that the event loop has yet to get round to.
+def _is_idle(stream: tornado.iostream.IOStream) -> bool:
+    """Return whether no request has arrived that the event loop has yet to handle.
 
-    A stream that is not waiting for bytes has got some.
+    A stream that is not waiting for bytes has received some.
     """
-    return stream.reading() and look(stream) is not Unread.BYTES
+    return stream.reading() and peek(stream) is not Unread.BYTES
 
 
-def look(stream: tornado.iostream.IOStream) -> Unread:
-    """Return what has come on a connection, without reading it."""
+def peek(stream: tornado.iostream.IOStream) -> Unread:
+    """Return what has arrived on a connection, without reading it."""
     if stream.closed():
         return Unread.END
     try:
@@ -41,64 +42,66 @@
         return Unread.END
 
 
-class Clients:
-    """Keeps the number of clients' connections below a bound, so that new ones can be accepted.
+class ClientConnections:
+    """Keeps the number of client connections below a limit, so that new ones can be accepted.
 
-    Without descriptors left nothing can be accepted any more, nor any upstream be reached. The
-    connection that has rested longest is closed first: its client opens another one, and has no
-    request under way.
+    Without free file descriptors neither clients nor upstreams can connect. The connection that has
+    been idle longest is closed first: it has no request in progress, and its client can open
+    another one.
     """
 
     def __init__(self, most: int = 1000) -> None:
         self.most = most
         self._open: weakref.WeakSet[tornado.iostream.IOStream] = weakref.WeakSet()
-        self._resting: weakref.WeakKeyDictionary[tornado.iostream.IOStream, None] = (
+        self._idle: weakref.WeakKeyDictionary[tornado.iostream.IOStream, None] = (
             weakref.WeakKeyDictionary()
         )
-        """In the order in which they came to rest."""
+        """In the order in which they became idle."""
 
     def __len__(self) -> int:
         return len(self._open)
 
-    def note_rest(self, stream: tornado.iostream.IOStream) -> None:
-        """Note a connection that waits for its first or next request."""
+    def mark_idle(self, stream: tornado.iostream.IOStream) -> None:
+        """Record that a connection waits for its first or next request."""
         if stream not in self._open:
             self._open.add(stream)
-            self._make_room()
-        self._resting.pop(stream, None)
-        self._resting[stream] = None
+            self._close_surplus()
+        self._idle.pop(stream, None)
+        self._idle[stream] = None
 
-    def note_request(self, stream: tornado.iostream.IOStream) -> None:
-        """Note that a request has begun on a connection."""
-        self._resting.pop(stream, None)
+    def mark_busy(self, stream: tornado.iostream.IOStream) -> None:
+        """Record that a request has begun on a connection."""
+        self._idle.pop(stream, None)
 
-    def close_resting(self) -> bool:
-        """Close all connections on which nothing is under way, as the process ends.
+    def close_idle(self) -> bool:
+        """Close all connections without a request, as the process ends.
 
-        A client sees that at once, and does not send a request that nobody would read. Returns
-        whether there is still one on which a request has come that is yet to be read.
+        The client notices at once, and sends no request that would not be read. Returns whether
+        there is still a connection on which a request has arrived that is yet to be read.
         """
-        for stream in list(self._resting):
-            if stream.closed() or _rests(stream):
-                del self._resting[stream]
+        for stream in list(self._idle):
+            if stream.closed() or _is_idle(stream):
+                del self._idle[stream]
                 stream.close()
-        return bool(self._resting)
+        return bool(self._idle)
 
-    def _make_room(self) -> None:
+    def _close_surplus(self) -> None:
         if len(self._open) <= self.most:
             return
         for ended in [s for s in self._open if s.closed()]:
             self._open.discard(ended)
-            self._resting.pop(ended, None)
+            self._idle.pop(ended, None)
         closed = 0
-        for oldest in list(self._resting):
+        for oldest in list(self._idle):
             if len(self._open) <= self.most:
                 break
-            if not _rests(oldest):
+            if not _is_idle(oldest):
                 continue
-            del self._resting[oldest]
+            del self._idle[oldest]
             self._open.discard(oldest)
             oldest.close()
             closed += 1
         if closed:
-            log.warning('resting clients closed', extra={'closed': closed, 'open': len(self._open)})
+            log.warning(
+                'idle client connections closed', extra={'closed': closed, 'open': len(self._open)}
+            )
--- a/passpier/routing/delivering.py
+++ b/passpier/routing/delivering.py
@@ -1,4 +1,4 @@
-"""Hands an answer on to the client, as long as the client reads it."""
+"""Sends a response to the client, as long as the client reads it."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from passpier.routing import answering, dialect
 
 UNREAD_GRACE = 0.25
-"""Seconds after a request's time is over, or after its answer is there if that is later, in which
-the answer may still go out. A client that has stopped reading keeps a replica at work until then,
-and no longer."""
+"""Seconds for which a response may still be sent after the request's deadline, or after the
+response is there if that is later. A client that has stopped reading keeps a replica busy for that
+long and no longer."""
 
 
-class NotReadError(Exception):
-    """The client has not read its answer in time."""
+class SlowClientError(Exception):
+    """The client has not read its response in time."""
 
 
 class Delivery:
-    """The way of one answer to its client; each call raises `NotReadError`."""
+    """Sends one response to its client; each method raises `NotReadError`."""
 
     def __init__(self, client: answering.Client, wire: dialect.Dialect, ends_at: float) -> None:
         self._client = client
         self._wire = wire
         self._ends_at = ends_at
         self.final = False
-        """Whether the end of the answer is on its way."""
+        """Whether the end of the response is being sent."""
 
     async def send_event(self, head: exchanges.Head, event: bytes) -> None:
-        """Hand on one event of a stream."""
+        """Send one event of a stream."""
         await self._send(self._write_event(head, event))
 
     async def finish_stream(self, head: exchanges.Head) -> None:
@@ -38,14 +38,14 @@
         self.final = True
         await self._send(self._finish_stream(head))
 
-    async def send_whole(self, answer: exchanges.Answer) -> None:
-        """Hand on an upstream's whole answer."""
+    async def send_response(self, answer: exchanges.Answer) -> None:
+        """Send an upstream's complete response."""
         self.final = True
         headers = self._wire.clean_answer(answer.head.headers)
-        await self._send(answering.write_whole(self._client, answer.head, headers, answer.body))
+        await self._send(answering.write_response(self._client, answer.head, headers, answer.body))
 
     async def send_refusal(self, refusal: answering.Refusal, id: str) -> None:
-        """Give an answer of our own."""
+        """Send a response of the router itself."""
         self.final = True
         await self._send(answering.write_refusal(self._client, refusal, self._wire.id_header, id))
 
@@ -67,4 +67,4 @@
             async with asyncio.timeout(max(0.0, self._ends_at - clocks.now()) + UNREAD_GRACE):
                 await sending
         except TimeoutError as error:
-            raise NotReadError from error
+            raise SlowClientError from error
--- a/passpier/routing/forwarding.py
+++ b/passpier/routing/forwarding.py
@@ -185,7 +185,7 @@
         started = clocks.now()
         try:
             await self._answer()
-        except delivering.NotReadError:
+        except delivering.SlowClientError:
             self._outcome = 'not_read'
             self._client.abort()
         except asyncio.CancelledError:
@@ -464,7 +464,7 @@
     async def _send_response(self, answer: exchanges.Answer) -> None:
         """Send an upstream's complete answer to the client."""
         self._call.life.completed = True
-        await self._delivery.send_whole(answer)
+        await self._delivery.send_response(answer)
 
     async def _handle_failure(self, error: reading.AttemptError) -> bool:
         """Decide what follows a failed attempt; return whether there is another one."""
--- a/passpier/routing/ingress.py
+++ b/passpier/routing/ingress.py
@@ -1,4 +1,4 @@
-"""The port of the clients: reads requests, checks them against the configuration, has them run."""
+"""The clients' port: parses requests, checks them against the configuration, and runs them."""
 
 from __future__ import annotations
 
@@ -19,46 +19,47 @@
 log = logging.getLogger(__name__)
 
 HEAD_MAX = 64 * 1024
-"""Bytes of a request's head that are read at all."""
+"""Maximum size in bytes of a request's head."""
 
 BODY_MAX = 16 * 1024 * 1024
-"""Bytes of a body that are read at all; the configuration's limit is checked below it."""
+"""Maximum size in bytes of a body; the configuration's own limit is below it."""
 
-REST_MAX = 60.0
-"""Seconds for which a client's connection may rest."""
+IDLE_TIMEOUT = 60.0
+"""Seconds for which a client's connection may be idle."""
 
-RETRY_AFTER_UNKNOWING = 0.3
-"""Seconds after which a client should come back to a daemon that knows too little yet."""
+RETRY_AFTER_NOT_READY = 0.3
+"""Seconds after which a client should retry at a process that has no current configuration yet."""
 
-END_SECONDS = 0.2
-"""Seconds in which the last answers of a stopping process have to be out."""
+FINAL_RESPONSE_SECONDS = 0.2
+"""Seconds in which the last responses of a stopping process must be sent."""
 
-SURE_AGE = 3.5
-"""Seconds of age up to which an unknown key or route is certain enough to be refused for good."""
+FINAL_REFUSAL_AGE_MAX = 3.5
+"""Maximum age in seconds of the configuration at which an unknown key or route is refused for
+good."""
 
 
 class HttpClient:
-    """Implements `answering.Client` on a connection of tornado's server."""
+    """Implements `responses.Client` on a connection of tornado's server."""
 
     def __init__(
         self,
         connection: tornado.http1connection.HTTP1Connection,
-        is_last: Callable[[], bool] = lambda: False,
+        should_close: Callable[[], bool] = lambda: False,
     ) -> None:
         self._connection = connection
-        self._is_last = is_last
-        self._last = False
+        self._should_close = should_close
+        self._closes = False
         self.started = False
         self.status = 0
 
     @property
     def gone(self) -> bool:
-        """Whether the end of the connection has arrived, also if the event loop has yet to see it.
+        """Whether the client's close has arrived, even if the event loop has not handled it yet.
 
-        A loop that is late reads requests of clients that have given up meanwhile.
+        A delayed loop reads requests of clients that have given up meanwhile.
         """
         stream = self._connection.stream
-        return stream is None or clients.look(stream) is clients.Unread.END
+        return stream is None or clients.peek(stream) is clients.Unread.END
 
     async def begin(
         self, status: int, reason: str, headers: Sequence[tuple[str, str]], length: int | None
@@ -70,78 +71,79 @@
             rendered.add(name, value)
         if length is not None:
             rendered['Content-Length'] = str(length)
-        self._last = self._is_last()
-        if self._last:
-            # The process stops. The server itself says so only for requests that it reads now.
+        self._closes = self._should_close()
+        if self._closes:
+            # The process is stopping. The server sets this header only for requests that it reads
+            # from now on.
             rendered['Connection'] = 'close'
         self.started = True
         self.status = status
         start = tornado.httputil.ResponseStartLine(
             'HTTP/1.1', status, reason or tornado.httputil.responses.get(status, 'Unknown')
         )
-        # The head goes out with the first part of the body; its own future says nothing more.
+        # The head is sent with the first part of the body, whose future covers both.
         self._connection.write_headers(start, rendered).add_done_callback(lambda f: f.exception())
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body; waits while the client does not read."""
+        """Send a part of the body; waits for a client that reads slowly."""
         if data:
             await self._connection.write(data)
 
     async def finish(self) -> None:
-        """End the answer as complete; returns when its last byte is out.
+        """End the response as complete; returns when its last byte is sent.
 
-        A process that stops ends as soon as nothing is under way, and what is still to be written
-        would be lost with it.
+        A stopping process exits as soon as no request is in progress, and anything not yet written
+        would be lost.
         """
         stream = self._connection.stream
         self._connection.finish()
         if not stream.closed() and stream.writing():
             await stream.write(b'')
-        if self._last:
+        if self._closes:
             stream.close()
 
     def abort(self) -> None:
-        """End the connection, so that the answer cannot look complete."""
+        """Close the connection, so that the response can't look complete."""
         self._connection.close()
 
 
 class Ingress(tornado.httputil.HTTPServerConnectionDelegate):
-    """Takes clients' connections."""
+    """Accepts clients' connections."""
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        registry_state: knowledge.Knowledge,
         forwarder: forwarding.Forwarder,
         wire: dialect.Dialect,
         counters: metrics.Metrics,
         meter: rates.Meter,
     ) -> None:
         self.meter = meter
-        self.known = known
+        self.registry_state = registry_state
         self.forwarder = forwarder
         self.wire = wire
         self.counters = counters
-        self.running: set[_Incoming] = set()
-        """Requests that are whole and not answered yet."""
+        self.running: set[_IncomingRequest] = set()
+        """Requests that are complete and not answered yet."""
 
-        self.coming: set[_Incoming] = set()
-        """Requests of which the head is there, and not yet the whole body."""
+        self.receiving: set[_IncomingRequest] = set()
+        """Requests whose head has arrived, but not the complete body."""
 
-        self.takes: Callable[[], bool] = lambda: True
-        """Whether new requests are taken: not late in a planned stop."""
+        self.accepts_requests: Callable[[], bool] = lambda: True
+        """Whether new requests are accepted; false late in a planned stop."""
 
         self.stopping = False
-        """Whether each answer is the last one on its connection, so that clients go elsewhere."""
+        """Whether each response closes its connection, so that clients connect elsewhere."""
 
-        self.active_at = clocks.now()
-        """When a request last came or ended."""
+        self.last_active_at = clocks.now()
+        """When a request last arrived or ended."""
 
-        self.clients = clients.Clients()
+        self.clients = clients.ClientConnections()
 
     @property
     def in_flight(self) -> int:
-        """How many requests are under way, those included that are still coming."""
-        return len(self.running) + len(self.coming)
+        """The number of requests in progress, including those still being received."""
+        return len(self.running) + len(self.receiving)
 
     def start_request(
         self,
@@ -150,14 +152,14 @@
     ) -> tornado.httputil.HTTPMessageDelegate:
         """Begin to read a request."""
         assert isinstance(request_conn, tornado.http1connection.HTTP1Connection)
-        self.clients.note_rest(request_conn.stream)
-        return _Incoming(self, request_conn)
+        self.clients.mark_idle(request_conn.stream)
+        return _IncomingRequest(self, request_conn)
 
     async def end_running(self, stopped_at: float) -> None:
-        """Have all requests that are still under way answered at once: the process ends."""
+        """End all requests in progress with a response, since the process exits."""
         ending = [i.end(stopped_at) for i in list(self.running)]
         if ending:
-            await asyncio.wait(ending, timeout=END_SECONDS)
+            await asyncio.wait(ending, timeout=FINAL_RESPONSE_SECONDS)
 
     def build_server(self) -> tornado.httpserver.HTTPServer:
         """Return the server of the clients' port."""
@@ -166,12 +168,12 @@
             max_header_size=HEAD_MAX,
             max_body_size=BODY_MAX,
             max_buffer_size=BODY_MAX + HEAD_MAX,
-            idle_connection_timeout=REST_MAX,
+            idle_connection_timeout=IDLE_TIMEOUT,
         )
 
 
-class _Incoming(tornado.httputil.HTTPMessageDelegate):
-    """One request while it is read and answered."""
+class _IncomingRequest(tornado.httputil.HTTPMessageDelegate):
+    """One request while it is received and answered."""
 
     def __init__(self, owner: Ingress, connection: tornado.http1connection.HTTP1Connection) -> None:
         self._owner = owner
@@ -189,10 +191,10 @@
         start_line: tornado.httputil.RequestStartLine | tornado.httputil.ResponseStartLine,
         headers: tornado.httputil.HTTPHeaders,
     ) -> None:
-        """Take the head."""
+        """Parse the head."""
         self._arrived_at = clocks.now()
-        self._owner.clients.note_request(self._connection.stream)
-        self._owner.coming.add(self)
+        self._owner.clients.mark_busy(self._connection.stream)
+        self._owner.receiving.add(self)
         assert isinstance(start_line, tornado.httputil.RequestStartLine)
         try:
             self._ask = self._owner.wire.read_request(start_line, headers)
@@ -200,29 +202,32 @@
             self._refusal = answering.Refusal(400, 'bad_request', str(error))
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         self._body += chunk
 
     def finish(self) -> None:
-        """Answer: the request is whole."""
-        self._owner.coming.discard(self)
-        self._connection.set_close_callback(self._note_gone)
+        """Answer the complete request."""
+        self._owner.receiving.discard(self)
+        self._connection.set_close_callback(self._handle_disconnect)
         running = self._owner.running
         running.add(self)
         self._work = asyncio.ensure_future(self._serve())
         self._work.add_done_callback(lambda _: running.discard(self))
 
     def on_connection_close(self) -> None:
-        """Note that the client left before its request was whole."""
-        self._owner.coming.discard(self)
+        """Log that the client disconnected before its request was complete."""
+        self._owner.receiving.discard(self)
         id = self._ask.id if self._ask else ''
-        log.info('client left while sending', extra={'request': id, 'bytes': len(self._body)})
+        log.info(
+            'client disconnected before its request was complete',
+            extra={'request': id, 'bytes': len(self._body)},
+        )
 
     def end(self, stopped_at: float) -> asyncio.Task[None]:
-        """Have the request answered now, and return what does it; the signal came `stopped_at`."""
+        """Have the request answered now, and return the task; the signal came at `stopped_at`."""
         run = self._run
         log.warning(
-            'request ended by the stop',
+            'request ended because the process stops',
             extra={
                 'request': self._ask.id if self._ask else '',
                 'taken_after_signal': round(self._arrived_at - stopped_at, 3),
@@ -238,18 +243,21 @@
             self._work.cancel()
         return self._work
 
-    def _note_gone(self) -> None:
+    def _handle_disconnect(self) -> None:
         if self._work is None or self._work.done():
             return
         if self._run is not None and self._run.must_complete:
-            log.info('left to its end, client gone', extra={'request': self._run.id})
+            log.info(
+                'client disconnected, upstream request not cancelled',
+                extra={'request': self._run.id},
+            )
             return
         self._work.cancel()
 
     async def _serve(self) -> None:
         owner = self._owner
         owner.meter.note()
-        owner.active_at = clocks.now()
+        owner.last_active_at = clocks.now()
         id = self._ask.id if self._ask else ''
         try:
             await self._answer()
@@ -258,14 +266,14 @@
             tornado.iostream.StreamClosedError,
             answering.ClientGoneError,
         ):
-            log.info('client gone', extra={'request': id, 'status': self._client.status})
+            log.info('client disconnected', extra={'request': id, 'status': self._client.status})
             self._client.abort()
         except Exception:
-            # Whatever went wrong here, the client must not wait for an answer that cannot come.
-            log.exception('request failed inside', extra={'request': id})
+            # After an internal error, don't let the client wait for a response that can't come.
+            log.exception('request failed with an internal error', extra={'request': id})
             self._client.abort()
         finally:
-            owner.active_at = clocks.now()
+            owner.last_active_at = clocks.now()
             owner.counters.answer_seconds.observe(
                 {'status': str(self._client.status)}, clocks.now() - self._arrived_at
             )
@@ -281,17 +289,17 @@
         await answering.write_refusal(self._client, admitted, self._owner.wire.id_header, id)
 
     def _admit(self) -> requests.Admitted | answering.Refusal:
-        """Return the request with its rules, or why it is refused."""
+        """Return the request with its route and account, or why it is refused."""
         if self._refusal is not None:
             return self._refusal
         ask = self._ask
         assert ask is not None
-        if not self._owner.takes():
+        if not self._owner.accepts_requests():
             message = 'this process stops'
             return answering.Refusal(503, 'stopping', message, forwarding.RETRY_AFTER_STOPPING)
-        table = self._owner.known.table
+        table = self._owner.registry_state.table
         if table is None:
-            return _refuse_for_now('no configuration is known yet')
+            return _refuse_temporarily('no configuration is known yet')
         if len(self._body) > table.configuration.max_body:
             return answering.Refusal(413, 'body_too_large', 'the body is too large')
         route = table.find_route(ask.host, ask.path)
@@ -305,12 +313,12 @@
         return requests.Admitted(ask, route, account, bytes(self._body), self._arrived_at)
 
     def _refuse_unknown(self, status: int, reason: str, message: str) -> answering.Refusal:
-        """Refuse for good only if a newer configuration cannot say otherwise."""
-        age = self._owner.known.freshness.compute_age(clocks.now())
-        if age > SURE_AGE:
-            return _refuse_for_now(f'{message}, by a configuration proved {age:.1f} s ago')
+        """Refuse for good only if no newer configuration can say otherwise."""
+        age = self._owner.registry_state.freshness.compute_age(clocks.now())
+        if age > FINAL_REFUSAL_AGE_MAX:
+            return _refuse_temporarily(f'{message}, by a configuration proved {age:.1f} s ago')
         return answering.Refusal(status, reason, message)
 
 
-def _refuse_for_now(message: str) -> answering.Refusal:
-    return answering.Refusal(503, 'not_known_yet', message, RETRY_AFTER_UNKNOWING)
+def _refuse_temporarily(message: str) -> answering.Refusal:
+    return answering.Refusal(503, 'not_known_yet', message, RETRY_AFTER_NOT_READY)
--- a/passpier/routing/router.py
+++ b/passpier/routing/router.py
@@ -1,4 +1,4 @@
-"""Starts, reloads and stops a router process."""
+"""Wires up, reloads and stops a router process."""
 
 from __future__ import annotations
 
@@ -47,50 +47,50 @@
 log = logging.getLogger(__name__)
 
 STOP_CHECK = 0.05
-"""Seconds between looks at whether a planned stop is done."""
+"""Seconds between checks whether a planned stop is complete."""
 
-KEPT_TIMES = 3
-"""Lifetimes for which some clients keep an answer of the directory."""
+RESPONSE_LIFETIMES = 3
+"""Number of lifetimes for which some clients keep a response of the directory."""
 
-TURN_INTERVAL = 0.1
-"""Seconds between looks at whether the event loop turns. A signal counts as sent at the last one,
+LOOP_CHECK_INTERVAL = 0.1
+"""Seconds between checks that the event loop is running. A signal counts as sent at the last one,
 up to this much too early."""
 
 GOODBYE_SECONDS = 0.15
-"""Seconds in which a stopping process gives up its entry and rights in the registry. Both lapse by
-themselves; a registry that is slow must not keep the process until it is killed."""
+"""Seconds in which a stopping process removes its entry and leases from the registry. Both expire
+anyway; a slow registry must not delay the process until it is killed."""
 
-LAST_TURNS = 10
-"""Turns of the event loop in which requests that came at the last moment are refused; one takes a
-few."""
+FINAL_LOOP_ITERATIONS = 10
+"""Iterations of the event loop in which requests that arrived at the last moment are refused; each
+takes a few."""
 
 QUIET_BEFORE_STOP = 0.3
-"""Seconds without a request before a planned stop ends: one may be on its way just then."""
+"""Seconds without a request before a planned stop ends, since one may be on its way."""
 
 DAEMONS_AT_START = 32
-"""Processes assumed to share the budget of retries while the others are not known yet: after a loss
-of power all start at once, and none may spend what belongs to all."""
+"""Processes assumed to share the retry budget until the others are known: after a power failure all
+start at once, and none may spend the budget of all."""
 
-YOUNG_SECONDS = 5.0
-"""Seconds after a start in which that is assumed; heartbeats take about one to make all known."""
+STARTUP_SECONDS = 5.0
+"""Seconds after the start in which that is assumed; heartbeats need about one to make all known."""
 
 LOADS_INTERVAL = 0.1
-"""Seconds between two messages of loads to a peer: bytes between failure domains are priced."""
+"""Seconds between messages on loads to a peer: traffic between failure domains is billed."""
 
 BACKLOG = 1024
 """Connections that may wait to be accepted while the event loop is busy. Others are dropped and
-tried again after a second: after a loss of power hundreds of clients come at once."""
+retried after a second: after a power failure hundreds of clients connect at once."""
 
-FILES_KEPT = 0.5
-"""Part of the descriptors that clients' connections may take; the rest is for upstreams, peers and
-the registry."""
+CLIENT_FILES_SHARE = 0.5
+"""Fraction of the file descriptors for client connections; the rest is for upstreams, peers and the
+registry."""
 
 UPKEEP_INTERVAL = 1.0
-"""Seconds between rounds that close connections which have rested long enough."""
+"""Seconds between rounds that close expired idle connections."""
 
 
 class Adapter:
-    """What a platform's adapter brings."""
+    """The components that a platform's adapter provides."""
 
     def __init__(
         self,
@@ -110,7 +110,7 @@
 
 
 class Router:
-    """All tasks of one router process, wired together."""
+    """All tasks of one router process."""
 
     def __init__(self, options: dialect.Options, adapter: Adapter, rng: random.Random) -> None:
         self.options = options
@@ -170,13 +170,13 @@
             self.pools, membership, self.peers, self.roster.notify_serving, rng
         )
         self.pools.on_signal = self.throttling.handle_signal
-        self.pools.on_leaving = self._tell_departing
+        self.pools.on_leaving = self._notify_departing
         self.peers.handle(messages.Departing, self._handle_departing)
-        # Nobody asks this process for decisions: they are in its log.
-        places = dispatcher.Dispatcher(self.pools, self.counters, rng, decisions_kept=0)
+        # Routing decisions can't be queried from this process, they are only logged.
+        request_dispatcher = dispatcher.Dispatcher(self.pools, self.counters, rng, decisions_kept=0)
         self.forwarder = forwarding.Forwarder(
             self.known,
-            places,
+            request_dispatcher,
             adapter.pool,
             adapter.wire,
             self.counters,
@@ -193,20 +193,20 @@
         self.forwarder.daemons = DAEMONS_AT_START
         self._started_at = clocks.now()
         self.turned_at = self._started_at
-        """When the event loop last turned, as far as it is looked at. A signal that is handled now
-        came later than that; how much later nobody can tell, for the VM may have given the process
-        no time since."""
+        """When the event loop was last known to run. A signal that is handled now arrived after
+        that; how long after is unknown, since the VM may not have scheduled the process
+        meanwhile."""
 
         self._stopping = asyncio.Event()
-        self.ingress.takes = self._takes
+        self.ingress.accepts_requests = self._accepts_requests
         files, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        self.ingress.clients.most = int(files * FILES_KEPT)
+        self.ingress.clients.most = int(files * CLIENT_FILES_SHARE)
         self._client_server = self.ingress.build_server()
 
     async def run(self) -> None:
-        """Serve until a planned stop is done."""
+        """Serve until a planned stop is complete."""
         source = self.adapter.source
-        # Before the tasks, so that a port that is taken ends the start and nothing else.
+        # Before the tasks, so that a port in use fails the start without other effects.
         servers = self._listen()
         running = [
             tasks.start(self.peers.run()),
@@ -216,7 +216,7 @@
             tasks.start(self.roster.run_heartbeats()),
             tasks.start(self.rollouts.run_election()),
             tasks.start(self.rollouts.run_orders()),
-            tasks.start(self._note_turns()),
+            tasks.start(self._check_loop()),
             tasks.start(resuming.watch(self.counters, self._resume)),
             tasks.start(self._run_upkeep()),
             tasks.start(self.cache_store_follower.run()),
@@ -252,28 +252,31 @@
         for server in servers:
             server.stop()
         self.prober.stop()
-        await self._announce_departure()
-        # A request may have come on a kept connection since.
+        await self._leave_cluster()
+        # A request may have arrived on a kept connection since.
         await self._finish()
-        # What comes from here on is answered by nobody, so that nothing may hold up the loop.
-        for _ in range(LAST_TURNS):
-            if not self.ingress.clients.close_resting():
+        # Requests that arrive from here on are not answered, so nothing may block the loop.
+        for _ in range(FINAL_LOOP_ITERATIONS):
+            if not self.ingress.clients.close_idle():
                 break
             await asyncio.sleep(0)
         await self.ingress.end_running(self._drain.began_at or self._started_at)
 
-    async def _announce_departure(self) -> None:
+    async def _leave_cluster(self) -> None:
         self.roster.announce_departure()
         try:
             async with asyncio.timeout(GOODBYE_SECONDS):
                 await self.rollouts.stop()
                 await self.roster.end(self.adapter.source)
         except TimeoutError:
-            log.info('entry and rights are left to lapse', extra={'seconds': GOODBYE_SECONDS})
+            log.info(
+                'entry and leases not released in time, will expire',
+                extra={'seconds': GOODBYE_SECONDS},
+            )
         await self.peers.flush()
 
     def begin_stop(self, not_later: float | None = None) -> None:
-        """Start a planned stop; a second call changes nothing.
+        """Start a planned stop; a second call has no effect.
 
         Its times count from `not_later`, or from now: see `turned_at`.
         """
@@ -281,11 +284,11 @@
         began_at = now if not_later is None else not_later
         if self._drain.began_at is not None:
             since = round(now - self._drain.began_at, 3)
-            log.info('stop goes on', extra={'seconds': since})
+            log.info('stop already in progress', extra={'seconds': since})
             return
         self._drain.begin(began_at)
         log.info(
-            'stop begins',
+            'stop started',
             extra={
                 'in_flight': self.ingress.in_flight,
                 'noticed_after': round(now - began_at, 4),
@@ -297,13 +300,13 @@
         self._stopping.set()
 
     def force_stop(self) -> None:
-        """End a planned stop early, or stop at once: what runs is answered as it stands."""
+        """End a planned stop early, or stop at once: requests in progress are ended as they are."""
         self.begin_stop()
         self._drain.force()
-        log.info('stop hurried', extra={'in_flight': self.ingress.in_flight})
+        log.info('stop forced', extra={'in_flight': self.ingress.in_flight})
 
     def reload(self, options: dialect.Options) -> None:
-        """Take over changed bounds; addresses stay until the next start."""
+        """Apply changed settings; addresses stay until the next start."""
         self.options = options
         self.known.freshness.bound = options.key_bound
         self.forwarder.reload(options)
@@ -327,33 +330,33 @@
     def _handle_silent(self, sender: str, address: str, message: messages.Silent) -> None:
         self.prober.probe(message.life)
 
-    def _tell_departing(self, life: lives.Life) -> None:
+    def _notify_departing(self, life: lives.Life) -> None:
         self.roster.notify_serving(messages.Departing(life.id, life.born))
 
     def _handle_departing(self, sender: str, address: str, message: messages.Departing) -> None:
         self.pools.mark_leaving(message.life, sender)
 
-    def _takes(self) -> bool:
+    def _accepts_requests(self) -> bool:
         return self._drain.takes(clocks.now())
 
     async def _finish(self) -> None:
         while True:
             now = clocks.now()
-            recent = now - self.ingress.active_at < QUIET_BEFORE_STOP
+            recent = now - self.ingress.last_active_at < QUIET_BEFORE_STOP
             phase = self._drain.get_phase(self.ingress.in_flight + recent, now)
             if phase is drain.Phase.STOPPED:
                 break
             await asyncio.sleep(STOP_CHECK)
         await self.ingress.end_running(self._drain.began_at or self._started_at)
 
-    async def _note_turns(self) -> None:
+    async def _check_loop(self) -> None:
         while True:
             self.turned_at = clocks.now()
-            await asyncio.sleep(TURN_INTERVAL)
+            await asyncio.sleep(LOOP_CHECK_INTERVAL)
 
     def _resume(self) -> None:
-        """Take up work after the VM was suspended."""
-        # The other sides may have closed these meanwhile.
+        """Resume work after the VM was suspended."""
+        # The peers may have closed these connections meanwhile.
         self.adapter.pool.close()
         self.roster.send_heartbeat(self.roster.membership.list_known())
 
@@ -361,8 +364,8 @@
         while True:
             await asyncio.sleep(UPKEEP_INTERVAL)
             self.adapter.pool.close_expired()
-            young = clocks.now() - self._started_at < YOUNG_SECONDS
-            self.forwarder.daemons = max(self.roster.max_alive, DAEMONS_AT_START if young else 1)
+            starting = clocks.now() - self._started_at < STARTUP_SECONDS
+            self.forwarder.daemons = max(self.roster.max_alive, DAEMONS_AT_START if starting else 1)
 
     def _listen(self) -> list[tornado.httpserver.HTTPServer]:
         """Open all ports; raises `OSError`, with the peers' sockets closed, if one is taken."""
@@ -425,14 +428,14 @@
 
 
 def _read_stop_times(options: dialect.Options) -> tuple[float, float, float]:
-    """Return how long answers of the directory live, a stop lasts, and old answers are kept."""
-    return options.answer_ttl, options.stop_bound, options.answer_ttl * (KEPT_TIMES - 1)
+    """Return the directory's lifetime, the limit of a stop, and how long old responses are kept."""
+    return options.answer_ttl, options.stop_bound, options.answer_ttl * (RESPONSE_LIFETIMES - 1)
 
 
 def _listen_on(server: tornado.httpserver.HTTPServer, address: str) -> None:
     host, _, port = address.rpartition(':')
     sockets = tornado.netutil.bind_sockets(int(port), host, backlog=BACKLOG)
     for listening in sockets:
-        # A client that has fallen silent must not keep a replica at work on a stream for it.
+        # An unresponsive client must not keep a replica busy with a stream.
         connections.guard(listening)
     server.add_sockets(sockets)
