--- a/passpier/routing/forwarding.py
+++ b/passpier/routing/forwarding.py
@@ -371,8 +371,10 @@
 
     async def _read_head(self, reader: response_reader.ResponseReader) -> exchanges.Head:
         left = self._admitted.ends_at - clocks.now()
-        life = self._call.life
-        may_follow = life.repeatable and life.attempts < life.max_attempts
+        attempt_state = self._call.life
+        may_follow = (
+            attempt_state.repeatable and attempt_state.attempts < attempt_state.max_attempts
+        )
         wait = left * ATTEMPT_SHARE if may_follow else left
         return await reader.read_head(wait)
 
@@ -382,25 +384,25 @@
         """Classify the head of a response and apply what it reports; raise if it is no result."""
         verdict = self._owner.wire.judge(head)
         upstreams = self._owner.pools
-        life = placement.replica.life
+        process = placement.replica.life
         self._learn_signal(head, placement, verdict)
         version = self._owner.wire.read_version(head)
         if version.isdigit():
-            upstreams.learn_version(life, int(version), 'answer')
+            upstreams.learn_version(process, int(version), 'answer')
         if verdict is dialect.Verdict.NOT_RUN:
-            upstreams.pause(life, pauses.Pause.FULL, pools.PAUSE_FULL, f'status {head.status}')
+            upstreams.pause(process, pauses.Pause.FULL, pools.PAUSE_FULL, f'status {head.status}')
             raise response_reader.AttemptError(
                 attempts.Fault.REFUSED, f'refused with status {head.status}'
             )
         if verdict is dialect.Verdict.WRONG_UPSTREAM:
             reported = self._owner.wire.read_incarnation(head)
             if reported and reported != placement.replica.incarnation:
-                upstreams.mark_replaced(life)
+                upstreams.mark_replaced(process)
                 raise response_reader.AttemptError(
                     attempts.Fault.REFUSED, f'{reported} has the address now'
                 )
-            upstreams.pause(life, pauses.Pause.FULL, pools.PAUSE_FULL, 'other weights')
-            self._owner.prober.note_version_mismatch(life, placement.replica.weight_version)
+            upstreams.pause(process, pauses.Pause.FULL, pools.PAUSE_FULL, 'other weights')
+            self._owner.prober.note_version_mismatch(process, placement.replica.weight_version)
             raise response_reader.AttemptError(
                 attempts.Fault.REFUSED, 'other weights than asked for'
             )
@@ -414,14 +416,14 @@
         self, head: exchanges.Head, placement: dispatcher.Placement, verdict: dialect.Verdict
     ) -> None:
         """Apply the backpressure signal of a response, unless another process gave it."""
-        life = placement.replica.life
+        process = placement.replica.life
         if verdict is dialect.Verdict.WRONG_UPSTREAM:
             reported = self._owner.wire.read_incarnation(head)
             if reported and reported != placement.replica.incarnation:
                 return
         signal = self._owner.wire.read_signal(head)
         ran_since = self._sent_at if verdict is dialect.Verdict.SUCCESS else None
-        self._owner.pools.learn_signal(life, signal, ran_since)
+        self._owner.pools.learn_signal(process, signal, ran_since)
 
     async def _relay_events(
         self, reader: response_reader.ResponseReader, head: exchanges.Head
@@ -445,8 +447,8 @@
         A stream is taken from a stalled replica only if another one can resume it, since the next
         event may still come.
         """
-        life = self._call.life
-        can_move = life.continuable and life.delivered > 0
+        attempt_state = self._call.life
+        can_move = attempt_state.continuable and attempt_state.delivered > 0
         gap = max(EVENT_GAP_MIN, self._admitted.route.event_gap * EVENT_GAP_FACTOR)
         while True:
             left = self.ends_at - clocks.now()
@@ -463,10 +465,10 @@
 
     def _can_move_stream(self) -> bool:
         """Return whether another replica could resume the stream now."""
-        life = self._call.life
+        attempt_state = self._call.life
         budget = self._owner.get_budget(self._service)
         return (
-            life.attempts < life.max_attempts
+            attempt_state.attempts < attempt_state.max_attempts
             and budget.has_any(clocks.now(), self._owner.daemons)
             and self._owner.dispatcher.has_place(self._call, {*self._excluded, self.upstream})
         )
@@ -478,7 +480,7 @@
 
     async def _handle_failure(self, error: response_reader.AttemptError) -> bool:
         """Decide what follows a failed attempt; return whether there is another one."""
-        life = self._call.life
+        attempt_state = self._call.life
         now = clocks.now()
         if error.fault is not attempts.Fault.REFUSED:
             self._owner.pools.note_failure(self._last_process)
@@ -495,7 +497,7 @@
             if has_time and self._failed_connects < CONNECT_TRIES:
                 step = attempts.Step.RETRY
         else:
-            step = life.decide(error.fault, has_time)
+            step = attempt_state.decide(error.fault, has_time)
             if step is not attempts.Step.FAIL and not self._spend_retry(now):
                 step = attempts.Step.FAIL
         self._owner.counters.retries.inc({'step': step.value})
@@ -509,8 +511,8 @@
                 'fault': error.fault.value,
                 'detail': str(error),
                 'step': step.value,
-                'attempts': life.attempts,
-                'ran': life.outcome.value,
+                'attempts': attempt_state.attempts,
+                'ran': attempt_state.outcome.value,
                 'time_left': round(self._admitted.ends_at - now, 3),
             },
         )
--- a/passpier/routing/ingress.py
+++ b/passpier/routing/ingress.py
@@ -65,7 +65,7 @@
         self, status: int, reason: str, headers: Sequence[tuple[str, str]], length: int | None
     ) -> None:
         """Send the head; without a length the body comes in chunks."""
-        assert not self.started, 'an answer has one head'
+        assert not self.started, 'a response has one head'
         rendered = tornado.httputil.HTTPHeaders()
         for name, value in headers:
             rendered.add(name, value)
@@ -237,7 +237,7 @@
                 'time_left': round(run.ends_at - clocks.now(), 3) if run else 0.0,
             },
         )
-        assert self._work is not None, 'what is under way has a task'
+        assert self._work is not None, 'a request in progress has a task'
         if run is not None and not run.final:
             run.mark_stopping()
             self._work.cancel()
--- a/passpier/routing/knowledge.py
+++ b/passpier/routing/knowledge.py
@@ -78,18 +78,18 @@
         self.freshness.prove(proved_at)
         return True
 
-    def apply_report(self, life: lives.Life, report: dialect.Report) -> bool:
+    def apply_report(self, process: lives.Life, report: dialect.Report) -> bool:
         """Apply a replica's report; return whether the expected process sent it.
 
         A process that started later than the known one is reported before its entry arrives. An
         earlier start is an outdated report, or the replica's clock has jumped back, which its entry
         will tell.
         """
-        if report.born is None or report.born == life.born:
-            self.pools.apply_report(life, report.versions)
-            self.pools.learn_signal(life, report.signal)
+        if report.born is None or report.born == process.born:
+            self.pools.apply_report(process, report.versions)
+            self.pools.learn_signal(process, report.signal)
             return True
-        other = lives.Life(life.id, report.born)
+        other = lives.Life(process.id, report.born)
         change = self.catalogue.note_born(other, report.versions)
         if change is not None:
             self.pools.apply_change(change)
--- a/passpier/routing/marks.py
+++ b/passpier/routing/marks.py
@@ -124,25 +124,25 @@
         if now - self._granted_at > LEASE_USED:
             self._lease = await self._source.grant(LEASE)
             self._granted_at = now
-        writing = {life: list(self._seen[life]) for life in self._unwritten}
-        puts = [self._build_put(life, running) for life, running in writing.items()]
+        writing = {process: list(self._seen[process]) for process in self._unwritten}
+        puts = [self._build_put(process, running) for process, running in writing.items()]
         await self._source.write(puts)
         self._unwritten -= {
-            life for life, running in writing.items() if self._seen[life] == running
+            process for process, running in writing.items() if self._seen[process] == running
         }
-        log.info('crashes recorded', extra={'upstreams': [str(life) for life in writing]})
+        log.info('crashes recorded', extra={'upstreams': [str(process) for process in writing]})
 
-    def _note_crash(self, life: lives.Life, running: list[int]) -> None:
-        self._seen.setdefault(life, []).extend(running)
-        self._unwritten.add(life)
+    def _note_crash(self, process: lives.Life, running: list[int]) -> None:
+        self._seen.setdefault(process, []).extend(running)
+        self._unwritten.add(process)
         while len(self._seen) > CRASHES_MAX:
             oldest = next(iter(self._seen))
             del self._seen[oldest]
             self._unwritten.discard(oldest)
 
-    def _build_put(self, life: lives.Life, running: list[int]) -> registry.Put:
-        data = msgspec.json.encode(Record(life.id, life.born, running))
-        return registry.Put(f'{self._prefix}{self._name}/{life}', data, self._lease)
+    def _build_put(self, process: lives.Life, running: list[int]) -> registry.Put:
+        data = msgspec.json.encode(Record(process.id, process.born, running))
+        return registry.Put(f'{self._prefix}{self._name}/{process}', data, self._lease)
 
     def _apply_record(self, key: str, item: registry.Item) -> None:
         try:
--- a/passpier/routing/pools.py
+++ b/passpier/routing/pools.py
@@ -82,11 +82,11 @@
         """Called with the state of a replica process that has ended."""
 
         self.on_signal: Callable[[lives.Life, backpressure.Signal, float | None], None] = (
-            lambda life, signal, ran_since: None
+            lambda process, signal, ran_since: None
         )
         """Called with the backpressure signal of each response; see `learn_signal`."""
 
-        self.on_leaving: Callable[[lives.Life], None] = lambda life: None
+        self.on_leaving: Callable[[lives.Life], None] = lambda process: None
         """Called when a response announces for the first time that its replica is leaving."""
 
         self._pools: dict[str, list[str]] = {}
@@ -166,126 +166,128 @@
         """Return the newest released weight version of each model."""
         return [rollout.Wanted(model, n.newest) for model, n in self.namings.items()]
 
-    def find(self, life: lives.Life) -> replicas.Replica | None:
+    def find(self, process: lives.Life) -> replicas.Replica | None:
         """Return a replica if its current process is the given one."""
-        replica = self.replicas.get(life.id)
-        return replica if replica is not None and replica.born == life.born else None
+        replica = self.replicas.get(process.id)
+        return replica if replica is not None and replica.born == process.born else None
 
-    def has_restarted(self, life: lives.Life) -> bool:
+    def has_restarted(self, process: lives.Life) -> bool:
         """Return whether a replica is known to run as another process than the given one."""
-        replica = self.replicas.get(life.id)
-        return replica is not None and replica.born != life.born
+        replica = self.replicas.get(process.id)
+        return replica is not None and replica.born != process.born
 
-    def is_exit_expected(self, life: lives.Life) -> bool:
+    def is_exit_expected(self, process: lives.Life) -> bool:
         """Return whether a process was expected to exit, so that its end is no crash."""
-        replica = self.find(life)
+        replica = self.find(process)
         if replica is None:
-            return not self.has_restarted(life)
+            return not self.has_restarted(process)
         return replica.leaving
 
-    def learn_version(self, life: lives.Life, version: int, source: str) -> None:
+    def learn_version(self, process: lives.Life, version: int, source: str) -> None:
         """Update a replica's weight version; older versions are ignored as outdated news."""
-        replica = self.find(life)
+        replica = self.find(process)
         if replica is not None and int(replica.weight_version or 0) < version:
             self._set_version(replica, version, source)
 
-    def apply_report(self, life: lives.Life, versions: Mapping[str, int]) -> None:
+    def apply_report(self, process: lives.Life, versions: Mapping[str, int]) -> None:
         """Apply the weight versions that a replica reports.
 
         They are older than the known ones if the current process carried out, as its first, an
         order that was meant for the process before.
         """
-        replica = self.find(life)
-        version = versions.get(self._models.get(life.id, ''), 0)
+        replica = self.find(process)
+        version = versions.get(self._models.get(process.id, ''), 0)
         if replica is None or not version:
             return
         age = clocks.now() - replica.weights_learnt_at
         if age > REPORT_LAG and version < int(replica.weight_version or 0):
             self._set_version(replica, version, 'report of older weights')
         else:
-            self.learn_version(life, version, 'report')
+            self.learn_version(process, version, 'report')
 
     def _set_version(self, replica: replicas.Replica, version: int, source: str) -> None:
-        life = replica.life
+        process = replica.life
         replica.weight_version = str(version)
         replica.weights_learnt_at = clocks.now()
-        self.resume(life, pauses.Pause.LOADING, version)
-        capacity = self.cache.get_capacity(life.id)
-        self.cache.set_incarnation(life.id, identify_cache(life, str(version)), capacity)
+        self.resume(process, pauses.Pause.LOADING, version)
+        capacity = self.cache.get_capacity(process.id)
+        self.cache.set_incarnation(process.id, identify_cache(process, str(version)), capacity)
         log.info(
             'upstream weight version updated',
             extra={
-                'upstream': life.id,
-                'born': life.born,
+                'upstream': process.id,
+                'born': process.born,
                 'weight_version': version,
                 'source': source,
             },
         )
 
-    def mark_replaced(self, life: lives.Life) -> None:
+    def mark_replaced(self, process: lives.Life) -> None:
         """Record that a replica process is gone, even if its entry still exists."""
-        replica = self.find(life)
+        replica = self.find(process)
         if replica is not None and replicas.set_leaving(replica, 'replaced', True):
-            fields = {'upstream': life.id, 'born': life.born, 'address': replica.address}
+            fields = {'upstream': process.id, 'born': process.born, 'address': replica.address}
             log.info('upstream process replaced', extra=fields)
 
     def learn_signal(
-        self, life: lives.Life, signal: backpressure.Signal, ran_since: float | None = None
+        self, process: lives.Life, signal: backpressure.Signal, ran_since: float | None = None
     ) -> None:
         """Apply the backpressure signal of a replica's response.
 
         `ran_since` is the send time of the request that the replica ran and answered. It is none
         for any other response: what such a response doesn't ask for may still be in force.
         """
-        replica = self.find(life)
+        replica = self.find(process)
         if replica is None:
             return
-        self.on_signal(life, signal, ran_since)
+        self.on_signal(process, signal, ran_since)
         if signal.backoff is not None:
-            self.pause(life, pauses.Pause.BACKOFF, min(signal.backoff, BACKOFF_MAX), 'Retry-After')
-        if signal.leaving and self.mark_leaving(life, 'answer'):
-            self.on_leaving(life)
+            self.pause(
+                process, pauses.Pause.BACKOFF, min(signal.backoff, BACKOFF_MAX), 'Retry-After'
+            )
+        if signal.leaving and self.mark_leaving(process, 'answer'):
+            self.on_leaving(process)
         if replica.signal == signal or (ran_since is None and signal == backpressure.NO_SIGNAL):
             return
         replica.signal = signal
         log.info(
             'upstream signal',
             extra={
-                'upstream': life.id,
-                'born': life.born,
+                'upstream': process.id,
+                'born': process.born,
                 'limit': signal.limit,
                 'leaving': signal.leaving,
                 'backoff': signal.backoff,
             },
         )
 
-    def mark_leaving(self, life: lives.Life, source: str) -> bool:
+    def mark_leaving(self, process: lives.Life, source: str) -> bool:
         """Record that a replica said that it is leaving; return whether that was unknown.
 
         It holds for the lifetime of the process, since the registry may lag behind.
         """
-        replica = self.find(life)
+        replica = self.find(process)
         if replica is None or not replicas.set_leaving(replica, 'said so', True):
             return False
-        fields = {'upstream': life.id, 'born': life.born, 'source': source}
+        fields = {'upstream': process.id, 'born': process.born, 'source': source}
         log.info('upstream is leaving', extra=fields)
         return True
 
     def pause(
-        self, life: lives.Life, kind: pauses.Pause, seconds: float, detail: str, version: int = 0
+        self, process: lives.Life, kind: pauses.Pause, seconds: float, detail: str, version: int = 0
     ) -> None:
         """Send a replica no new requests for some seconds; `version` is the one it is to load."""
-        replica = self.find(life)
+        replica = self.find(process)
         if replica is None:
             return
-        paused = self._pauses[life.id]
+        paused = self._pauses[process.id]
         paused.begin(kind, clocks.now() + seconds, version)
         replica.paused_until = paused.until
         replica.backoff_until = paused.get_until(pauses.Pause.BACKOFF)
         log.info(
             'upstream paused',
             extra={
-                'upstream': life.id,
+                'upstream': process.id,
                 'why': kind.value,
                 'seconds': seconds,
                 'reason': detail,
@@ -293,11 +295,11 @@
             },
         )
 
-    def resume(self, life: lives.Life, kind: pauses.Pause, version: int = 0) -> None:
+    def resume(self, process: lives.Life, kind: pauses.Pause, version: int = 0) -> None:
         """End a pause, except for the load of weights that are newer than `version`."""
-        replica = self.find(life)
+        replica = self.find(process)
         if replica is not None:
-            paused = self._pauses[life.id]
+            paused = self._pauses[process.id]
             paused.end(kind, version)
             replica.paused_until = paused.until
 
@@ -342,15 +344,15 @@
             fields['outdated_for'] = _compute_age(naming, clocks.now())
         return fields
 
-    def note_failure(self, life: lives.Life) -> None:
+    def note_failure(self, process: lives.Life) -> None:
         """Count a failed attempt against a replica."""
-        if self.find(life) and self.ejector.note_failure(life.id, clocks.now()):
-            log.warning('upstream ejected', extra={'upstream': life.id, 'born': life.born})
+        if self.find(process) and self.ejector.note_failure(process.id, clocks.now()):
+            log.warning('upstream ejected', extra={'upstream': process.id, 'born': process.born})
 
-    def note_success(self, life: lives.Life) -> None:
+    def note_success(self, process: lives.Life) -> None:
         """Reset the failed attempts of a replica."""
-        if self.find(life):
-            self.ejector.note_success(life.id)
+        if self.find(process):
+            self.ejector.note_success(process.id)
 
     def find_engine(self, service: str) -> routes.Engine | None:
         """Return the engine properties of a model service."""
@@ -460,9 +462,9 @@
         return self._pools[entry.service] if entry else [name]
 
 
-def identify_cache(life: lives.Life, version: str) -> str:
+def identify_cache(process: lives.Life, version: str) -> str:
     """Return the cache identity of a replica: it depends on its process and its weight version."""
-    return f'{life}/{version or 0}'
+    return f'{process}/{version or 0}'
 
 
 def _is_same_process(before: catalogue.Entry, entry: catalogue.Entry) -> bool:
--- a/passpier/routing/probing.py
+++ b/passpier/routing/probing.py
@@ -60,117 +60,119 @@
         self._end_states: dict[lives.Life, asyncio.Future[bool]] = {}
         """Whether the processes being probed have ended, as soon as that is known."""
 
-    def record_contact(self, life: lives.Life) -> None:
+    def record_contact(self, process: lives.Life) -> None:
         """Record that a replica process responded."""
-        if self._pools.find(life) is not None:
-            self._last_contacts[life.id] = (life, clocks.now())
+        if self._pools.find(process) is not None:
+            self._last_contacts[process.id] = (process, clocks.now())
 
     def is_silent(self, name: str) -> bool:
         """Return whether a replica is unresponsive."""
         return name in self._pools.silent
 
-    def has_restarted(self, life: lives.Life) -> bool:
+    def has_restarted(self, process: lives.Life) -> bool:
         """Return whether a replica process has ended and another one has replaced it."""
-        return self._pools.has_restarted(life)
+        return self._pools.has_restarted(process)
 
-    def probe(self, life: lives.Life, quiet_seconds: float = PROBE_AFTER) -> None:
+    def probe(self, process: lives.Life, quiet_seconds: float = PROBE_AFTER) -> None:
         """Probe a replica, unless it responded within `quiet_seconds` or is being probed."""
-        if life in self._tasks or self._pools.find(life) is None:
+        if process in self._tasks or self._pools.find(process) is None:
             return
-        if clocks.now() - self._get_last_contact(life) < quiet_seconds:
+        if clocks.now() - self._get_last_contact(process) < quiet_seconds:
             return
-        self._end_states[life] = asyncio.get_running_loop().create_future()
-        task = asyncio.ensure_future(self._run_probe(life))
-        self._tasks[life] = task
-        task.add_done_callback(lambda _: self._finish_probe(life))
+        self._end_states[process] = asyncio.get_running_loop().create_future()
+        task = asyncio.ensure_future(self._run_probe(process))
+        self._tasks[process] = task
+        task.add_done_callback(lambda _: self._finish_probe(process))
 
-    async def has_ended(self, life: lives.Life) -> bool:
+    async def has_ended(self, process: lives.Life) -> bool:
         """Return whether a process whose connection broke has ended, after probing it."""
-        if self._pools.find(life) is None:
+        if self._pools.find(process) is None:
             return True
-        self.probe(life, 0.0)
-        return await asyncio.shield(self._end_states[life])
+        self.probe(process, 0.0)
+        return await asyncio.shield(self._end_states[process])
 
-    def note_version_mismatch(self, life: lives.Life, version: str) -> None:
+    def note_version_mismatch(self, process: lives.Life, version: str) -> None:
         """Record that a replica doesn't have weights `version`; probe it if that persists.
 
         It may have restarted, or loaded other weights by a delayed order.
         """
         now = clocks.now()
-        first = self._mismatches.get(life.id)
-        if first is None or first[:2] != (life, version):
-            self._mismatches[life.id] = (life, version, now)
+        first = self._mismatches.get(process.id)
+        if first is None or first[:2] != (process, version):
+            self._mismatches[process.id] = (process, version, now)
         elif now - first[2] >= VERSION_MISMATCH_SECONDS:
-            del self._mismatches[life.id]
-            self.probe(life, 0.0)
+            del self._mismatches[process.id]
+            self.probe(process, 0.0)
 
     def stop(self) -> None:
         """Cancel all probes."""
         for task in self._tasks.values():
             task.cancel()
 
-    def _finish_probe(self, life: lives.Life) -> None:
-        self._tasks.pop(life, None)
+    def _finish_probe(self, process: lives.Life) -> None:
+        self._tasks.pop(process, None)
         # If still undecided, its entry is gone or another process has replaced it.
-        self._set_ended(life, True)
-        del self._end_states[life]
+        self._set_ended(process, True)
+        del self._end_states[process]
 
-    def _set_ended(self, life: lives.Life, ended: bool) -> None:
-        if not self._end_states[life].done():
-            self._end_states[life].set_result(ended)
+    def _set_ended(self, process: lives.Life, ended: bool) -> None:
+        if not self._end_states[process].done():
+            self._end_states[process].set_result(ended)
 
-    async def _run_probe(self, life: lives.Life) -> None:
+    async def _run_probe(self, process: lives.Life) -> None:
         unanswered = 0
-        while (replica := self._pools.find(life)) is not None:
+        while (replica := self._pools.find(process)) is not None:
             try:
                 report = await self._engines.report(replica.address, replica.incarnation)
             except exchanges.ExchangeError as error:
                 if error.fault is exchanges.Fault.REPLACED:
-                    self._pools.mark_replaced(life)
-                    self._pools.silent.discard(life.id)
+                    self._pools.mark_replaced(process)
+                    self._pools.silent.discard(process.id)
                     return
                 detail = str(error)
             else:
-                if self._registry_state.apply_report(life, report):
-                    self._set_ended(life, False)
-                    self._mark_responsive(life)
+                if self._registry_state.apply_report(process, report):
+                    self._set_ended(process, False)
+                    self._mark_responsive(process)
                     return
                 detail = f'answered by the process born at {report.born}'
             unanswered += 1
             if unanswered == UNANSWERED_MAX:
-                self._set_ended(life, True)
-                self._mark_unresponsive(life, detail)
+                self._set_ended(process, True)
+                self._mark_unresponsive(process, detail)
             if unanswered >= UNANSWERED_MAX:
                 seconds = 2 * PROBE_INTERVAL + dialect.ASK_TIMEOUT
-                self._pools.pause(life, pauses.Pause.SILENT, seconds, 'gives no answer')
+                self._pools.pause(process, pauses.Pause.SILENT, seconds, 'gives no answer')
                 await asyncio.sleep(PROBE_INTERVAL)
 
-    def _mark_unresponsive(self, life: lives.Life, error: str) -> None:
-        if self._pools.find(life) is None:
+    def _mark_unresponsive(self, process: lives.Life, error: str) -> None:
+        if self._pools.find(process) is None:
             return
-        self._pools.silent.add(life.id)
-        self._notify_peers(messages.Silent(life.id, life.born))
-        contact_at = self._get_last_contact(life)
-        age = round(clocks.now() - contact_at, 3) if math.isfinite(contact_at) else None
+        self._pools.silent.add(process.id)
+        self._notify_peers(messages.Silent(process.id, process.born))
+        contacted_at = self._get_last_contact(process)
+        age = round(clocks.now() - contacted_at, 3) if math.isfinite(contacted_at) else None
         log.warning(
             'upstream unresponsive',
             extra={
-                'upstream': life.id,
-                'born': life.born,
+                'upstream': process.id,
+                'born': process.born,
                 'error': error,
                 'last_heard_age': age,
             },
         )
 
-    def _mark_responsive(self, life: lives.Life) -> None:
-        if self._pools.find(life) is None:
+    def _mark_responsive(self, process: lives.Life) -> None:
+        if self._pools.find(process) is None:
             return
-        self.record_contact(life)
-        if life.id in self._pools.silent:
-            self._pools.silent.discard(life.id)
-            self._pools.resume(life, pauses.Pause.SILENT)
-            log.info('upstream responding again', extra={'upstream': life.id, 'born': life.born})
-
-    def _get_last_contact(self, life: lives.Life) -> float:
-        heard, contact_at = self._last_contacts.get(life.id, (life, float('-inf')))
-        return contact_at if heard == life else float('-inf')
+        self.record_contact(process)
+        if process.id in self._pools.silent:
+            self._pools.silent.discard(process.id)
+            self._pools.resume(process, pauses.Pause.SILENT)
+            log.info(
+                'upstream responding again', extra={'upstream': process.id, 'born': process.born}
+            )
+
+    def _get_last_contact(self, process: lives.Life) -> float:
+        last_process, contacted_at = self._last_contacts.get(process.id, (process, float('-inf')))
+        return contacted_at if last_process == process else float('-inf')
--- a/passpier/routing/rate_limiting.py
+++ b/passpier/routing/rate_limiting.py
@@ -163,8 +163,8 @@
         named = entries.choose_active(known, membership.map_rates(known))
         sharers = {m.incarnation: m.peer for m in [*named, *membership.list_carrying()]}
         own = membership.own.incarnation
-        took = membership.get_rate(own) > 0 and not membership.is_standing_by(now)
-        self._is_sharer = took or own in sharers
+        serves = membership.get_rate(own) > 0 and not membership.is_standing_by(now)
+        self._is_sharer = serves or own in sharers
         sharers.pop(own, None)
         self.book.set_sharers(sharers, now)
         self.book.interval = INTERVAL * max(1.0, len(sharers) / PEERS_AT_BASE_INTERVAL)
@@ -183,17 +183,17 @@
 
     def _send(self, name: str, address: str, now: float) -> None:
         self._sent_at[name] = now
-        number, heard, knows, rows = self.book.tell(name, now)
+        number, confirmed, knows, rows = self.book.tell(name, now)
         spent_rows = [(row.account, row.spent, row.left) for row in rows]
-        self._peers.send(address, messages.Spent(number, heard, knows, spent_rows))
+        self._peers.send(address, messages.Spent(number, confirmed, knows, spent_rows))
 
     def _handle_spent(self, sender: str, address: str, message: messages.Spent) -> None:
         now = clocks.now()
         self.sync(now)
         was_in_touch = self.book.is_in_touch(sender, now)
         rows = [buckets.Row(*row) for row in message.rows]
-        number, heard = message.number, message.confirmed
-        self.book.hear(sender, number, heard, message.knows, rows, now)
+        number, confirmed = message.number, message.confirmed
+        self.book.hear(sender, number, confirmed, message.knows, rows, now)
         if not was_in_touch:
             self._connected.set()
         # A peer that is not sent messages regularly may be waiting for one with a request at hand.
--- a/passpier/routing/response_reader.py
+++ b/passpier/routing/response_reader.py
@@ -55,13 +55,13 @@
         self,
         exchange: exchanges.Exchange,
         prober: probing.Prober,
-        life: lives.Life,
+        process: lives.Life,
         ends_at: float,
         repeatable: bool,
     ) -> None:
         self._exchange = exchange
         self._prober = prober
-        self._life = life
+        self._process = process
         self._ends_at = ends_at
         self._repeatable = repeatable
 
@@ -107,13 +107,13 @@
                     overtime = True
                     ends_at = clocks.now() + FINAL_READ_SECONDS
                     continue
-                if self._prober.has_restarted(self._life):
+                if self._prober.has_restarted(self._process):
                     text = 'the replica has started again'
                     raise AttemptError(fault, text, broken_off=True) from error
-                if self._prober.is_silent(self._life.id):
+                if self._prober.is_silent(self._process.id):
                     raise AttemptError(fault, 'the replica gives no sign of life') from error
                 if not self._exchange.is_silent:
-                    self._prober.probe(self._life)
+                    self._prober.probe(self._process)
                     continue
                 if marked and self._repeatable:
                     raise AttemptError(fault, 'the connection has fallen silent') from error
@@ -121,11 +121,11 @@
                 self._exchange.note_silent()
                 # The probe uses a new connection, and is sent even if the replica responded on
                 # another one.
-                self._prober.probe(self._life, 0.0)
+                self._prober.probe(self._process, 0.0)
             except exchanges.ExchangeError as error:
                 raise _convert(error, fault) from error
             else:
-                self._prober.record_contact(self._life)
+                self._prober.record_contact(self._process)
                 return result
 
 
--- a/passpier/routing/roster.py
+++ b/passpier/routing/roster.py
@@ -47,7 +47,7 @@
     def __init__(
         self,
         own: members.Member,
-        known: knowledge.Knowledge,
+        registry_state: knowledge.Knowledge,
         link: peers.Peers,
         meter: rates.Meter,
         rng: random.Random,
@@ -57,10 +57,10 @@
         self.max_alive = 1
         """The largest number of processes alive at once since this one started."""
 
-        self._known = known
+        self._registry_state = registry_state
         self._peers = link
         self._rng = rng
-        self._prefix = known.records.own_prefix + _KEY
+        self._prefix = registry_state.records.own_prefix + _KEY
         self._meter = meter
         self._listed: set[str] = set()
         self._refuses = False
@@ -111,8 +111,8 @@
     def announce_departure(self) -> None:
         """Announce to all peers that this process ends."""
         self._departed = True
-        known = [m.peer for m in self.membership.list_known()]
-        self._peers.send_all(known, messages.Goodbye(self.membership.own.incarnation))
+        addresses = [m.peer for m in self.membership.list_known()]
+        self._peers.send_all(addresses, messages.Goodbye(self.membership.own.incarnation))
 
     async def end(self, source: registry.Registry) -> None:
         """Remove this process's entry from the registry."""
@@ -137,7 +137,7 @@
     def sync_registry(self, now: float) -> None:
         """Apply the list of processes in the registry."""
         listed = set()
-        for key, item in self._known.members.items():
+        for key, item in self._registry_state.members.items():
             if not key.startswith(self._prefix):
                 continue
             try:
@@ -158,14 +158,16 @@
     def send_heartbeat(self, targets: list[members.Member]) -> None:
         """Send a heartbeat to some peers."""
         now = clocks.now()
-        refuses = self.leaving or not self._known.freshness.is_fresh(now)
+        refuses = self.leaving or not self._registry_state.freshness.is_fresh(now)
         if refuses != self._refuses:
             self._refuses = refuses
-            age = round(self._known.freshness.compute_age(now), 3)
+            age = round(self._registry_state.freshness.compute_age(now), 3)
             log.info('ready' if not refuses else 'not ready', extra={'configuration_age': age})
-        self.membership.advance(now, self._known.revision, 0, 0, refuses, self._meter.read(now))
+        self.membership.advance(
+            now, self._registry_state.revision, 0, 0, refuses, self._meter.read(now)
+        )
         heartbeat = messages.Heartbeat(
-            self.membership.make_digest(self._rng, now), self._known.revision, 0
+            self.membership.make_digest(self._rng, now), self._registry_state.revision, 0
         )
         addresses = [m.peer for m in targets]
         self._peers.send_all(addresses, heartbeat)
--- a/passpier/routing/router.py
+++ b/passpier/routing/router.py
@@ -134,13 +134,13 @@
         self.meter = rates.Meter(clocks.now())
         self.roster = roster.Roster(own, self.known, self.peers, self.meter, rng)
         self.relay = relaying.Relay(self.known, self.roster.membership, self.peers, rng)
-        self.follower = registry_follower.RegistryFollower(
+        self.registry_follower = registry_follower.RegistryFollower(
             adapter.source, self.known, self.relay, rng
         )
         self.rollouts = rollouts.Rollouts(
             adapter.source,
             self.known,
-            self.follower,
+            self.registry_follower,
             self.roster,
             adapter.engines,
             self.peers,
@@ -212,7 +212,7 @@
         servers = self._listen()
         running = [
             tasks.start(self.peers.run()),
-            tasks.start(self.follower.run()),
+            tasks.start(self.registry_follower.run()),
             tasks.start(self.relay.run()),
             tasks.start(self.roster.run_registration(source)),
             tasks.start(self.roster.run_heartbeats()),
@@ -332,8 +332,8 @@
     def _handle_silent(self, sender: str, address: str, message: messages.Silent) -> None:
         self.prober.probe(message.life)
 
-    def _notify_departing(self, life: lives.Life) -> None:
-        self.roster.notify_serving(messages.Departing(life.id, life.born))
+    def _notify_departing(self, process: lives.Life) -> None:
+        self.roster.notify_serving(messages.Departing(process.id, process.born))
 
     def _handle_departing(self, sender: str, address: str, message: messages.Departing) -> None:
         self.pools.mark_leaving(message.life, sender)
--- a/passpier/routing/sharing.py
+++ b/passpier/routing/sharing.py
@@ -37,7 +37,7 @@
     def note_placed(self, replica: replicas.Replica, job: choice.Job) -> None:
         """Record that a replica has begun to respond to a prompt."""
         version = replica.weight_version
-        self.sources.note_read(replica.life, version, job.chain, job.ends, len(job.chain) - 1)
+        self.sources.record_read(replica.life, version, job.chain, job.ends, len(job.chain) - 1)
         # The last part belongs to this prompt alone: no other one can reuse it.
         shared = (replica.name, replica.born, version, job.chain[:-1], list(job.ends[:-1]))
         if job.chain[:-1]:
@@ -58,5 +58,5 @@
 
     def _handle_placed(self, sender: str, address: str, message: messages.Placed) -> None:
         for name, born, version, chain, ends in message.prompts:
-            life = lives.Life(name, born)
-            self.sources.note_read(life, version, chain, ends, len(chain))
+            process = lives.Life(name, born)
+            self.sources.record_read(process, version, chain, ends, len(chain))
--- a/passpier/routing/sources.py
+++ b/passpier/routing/sources.py
@@ -55,9 +55,9 @@
         store_contents.note_saving(shared, now)
         return Source(recent or self._find_holder(replica, job) or store, store)
 
-    def note_read(
+    def record_read(
         self,
-        life: lives.Life,
+        process: lives.Life,
         version: str,
         chain: list[int],
         ends: Sequence[int],
@@ -66,12 +66,12 @@
         """Record that a replica has processed a prompt, whose first `shared` parts others share."""
         sizes = [end - start for start, end in zip((0, *ends), ends, strict=False)]
         now = clocks.now()
-        incarnation = pools.identify_cache(life, version)
-        self.pools.cache.add(life.id, incarnation, chain, view.Evidence.EVENT, now, sizes)
+        incarnation = pools.identify_cache(process, version)
+        self.pools.cache.add(process.id, incarnation, chain, view.Evidence.EVENT, now, sizes)
         if not shared:
             return
         last = chain[shared - 1]
-        self._readers[last] = (life, now)
+        self._readers[last] = (process, now)
         self._readers.move_to_end(last)
         while len(self._readers) > READERS_MAX:
             self._readers.popitem(last=False)
@@ -83,8 +83,8 @@
         is still in its memory.
         """
         shared = job.chain[:-1]
-        life, read_at = self._readers.get(shared[-1], NO_READER) if shared else NO_READER
-        other = self.pools.find(life)
+        process, read_at = self._readers.get(shared[-1], NO_READER) if shared else NO_READER
+        other = self.pools.find(process)
         if other is None or other is replica or now - read_at > IN_MEMORY_SECONDS:
             return ''
         is_silent = other.name in self.pools.silent
--- a/passpier/routing/throttling.py
+++ b/passpier/routing/throttling.py
@@ -76,22 +76,22 @@
         link.handle(messages.Limited, self._handle_limited)
 
     def handle_signal(
-        self, life: lives.Life, signal: backpressure.Signal, ran_since: float | None
+        self, process: lives.Life, signal: backpressure.Signal, ran_since: float | None
     ) -> None:
         """Apply a response's limit; see `pools.Pools.learn_signal`."""
         now = clocks.now()
         if signal.limit is not None:
-            self._apply_limit(life, signal.limit, now, 'answer')
-        elif ran_since is not None and life in self._limits:
-            self._apply_limit(life, None, ran_since, 'answer')
+            self._apply_limit(process, signal.limit, now, 'answer')
+        elif ran_since is not None and process in self._limits:
+            self._apply_limit(process, None, ran_since, 'answer')
         else:
             return
-        state = self._limits.get(life)
+        state = self._limits.get(process)
         if state is None:
             return
         state.confirmed_at = now
         if state.changed_at >= state.notified_at and now - state.notified_at >= NOTIFY_INTERVAL:
-            self._notify_peers(life, state, now)
+            self._notify_peers(process, state, now)
 
     async def run(self) -> None:
         """Update shares and remind peers until cancelled."""
@@ -104,28 +104,28 @@
         if not self._limits:
             return
         senders = self._list_senders(now)
-        for life, state in list(self._limits.items()):
+        for process, state in list(self._limits.items()):
             ended = state.limit is None and now - state.changed_at > ENDED_REMIND_SECONDS
-            if ended or self._pools.find(life) is None:
-                del self._limits[life]
+            if ended or self._pools.find(process) is None:
+                del self._limits[process]
                 continue
-            self._set_throttle(life, state, senders, now)
+            self._set_throttle(process, state, senders, now)
             if (
                 state.confirmed_at > state.notified_at
                 and now - state.notified_at >= REMIND_INTERVAL
             ):
-                self._notify_peers(life, state, now)
+                self._notify_peers(process, state, now)
 
     def _apply_limit(
-        self, life: lives.Life, limit: float | None, as_of: float, source: str
+        self, process: lives.Life, limit: float | None, as_of: float, source: str
     ) -> None:
         """Apply the limit as it was at a time, unless a later state is known."""
         now = clocks.now()
-        state = self._limits.get(life)
-        if self._pools.find(life) is None or (state is None and limit is None):
+        state = self._limits.get(process)
+        if self._pools.find(process) is None or (state is None and limit is None):
             return
         if state is None:
-            state = self._limits[life] = _LimitState(None, float('-inf'), now)
+            state = self._limits[process] = _LimitState(None, float('-inf'), now)
         if as_of <= state.as_of:
             return
         state.as_of = as_of
@@ -135,24 +135,24 @@
         state.limit = limit
         state.changed_at = now
         senders = self._list_senders(now)
-        self._set_throttle(life, state, senders, now)
-        self._log(life, state, source, len(senders), now)
+        self._set_throttle(process, state, senders, now)
+        self._log(process, state, source, len(senders), now)
 
     def _choose_probe_spread(self, limit: float | None) -> float:
         rate = max(limit or 0.0, throttles.LEAST_LIMIT)
         return min(PROBE_SPREAD_MAX, len(self._membership) / rate)
 
     def _set_throttle(
-        self, life: lives.Life, state: _LimitState, senders: Sequence[str], now: float
+        self, process: lives.Life, state: _LimitState, senders: Sequence[str], now: float
     ) -> None:
-        replica = self._pools.find(life)
+        replica = self._pools.find(process)
         if replica is None:
             return
         if state.limit is None:
             replica.throttle = None
             return
         own = self._membership.own.name
-        share = throttles.compute_share(life.id, state.limit, own, senders)
+        share = throttles.compute_share(process.id, state.limit, own, senders)
         if replica.throttle is None:
             replica.throttle = throttles.Throttle(share, now)
         else:
@@ -169,23 +169,25 @@
             taking.add(membership.own.incarnation)
         return sorted(m.name for m in membership.list_serving(now) if m.incarnation in taking)
 
-    def _notify_peers(self, life: lives.Life, state: _LimitState, now: float) -> None:
+    def _notify_peers(self, process: lives.Life, state: _LimitState, now: float) -> None:
         state.notified_at = now
-        self._send_to_peers(messages.Limited(life.id, state.limit, now - state.as_of, life.born))
+        self._send_to_peers(
+            messages.Limited(process.id, state.limit, now - state.as_of, process.born)
+        )
 
     def _handle_limited(self, sender: str, address: str, message: messages.Limited) -> None:
         self._apply_limit(message.life, message.limit, clocks.now() - message.age, sender)
 
     def _log(
-        self, life: lives.Life, state: _LimitState, source: str, senders: int, now: float
+        self, process: lives.Life, state: _LimitState, source: str, senders: int, now: float
     ) -> None:
-        replica = self._pools.get(life.id)
+        replica = self._pools.get(process.id)
         share = replica.throttle.share if replica.throttle is not None else None
         log.info(
             'upstream limit changed',
             extra={
-                'upstream': life.id,
-                'born': life.born,
+                'upstream': process.id,
+                'born': process.born,
                 'limit': state.limit,
                 'age': round(now - state.as_of, 3),
                 'source': source,
--- a/passpier/tests/routing/lives_tests.py
+++ b/passpier/tests/routing/lives_tests.py
@@ -45,9 +45,18 @@
 PEER = 'i-peer'
 
 
-def make_entry(life: lives.Life, version: int, draining: bool = False) -> catalogue.Entry:
+def make_entry(
+    replica_process: lives.Life, version: int, draining: bool = False
+) -> catalogue.Entry:
     return catalogue.Entry(
-        life.id, 's', f'{life.id}:1', 'd0', 8, draining, {MODEL: version}, life.born
+        replica_process.id,
+        's',
+        f'{replica_process.id}:1',
+        'd0',
+        8,
+        draining,
+        {MODEL: version},
+        replica_process.born,
     )
 
 
@@ -106,63 +115,65 @@
         now = clocks.now()
         self.known.take_changes(registry.Changes(items, revision, now, now), 0.0, now)
 
-    def record(self, revision: int, life: lives.Life, version: int, state: str = 'ready') -> None:
-        self.put(revision, f'replicas/{ID}', f'{life.born} {version} {state}'.encode())
+    def record(
+        self, revision: int, replica_process: lives.Life, version: int, state: str = 'ready'
+    ) -> None:
+        self.put(revision, f'replicas/{ID}', f'{replica_process.born} {version} {state}'.encode())
 
 
 Event = Callable[[Process], Any]
 
 
-def report(life: lives.Life, version: int) -> Event:
+def report(replica_process: lives.Life, version: int) -> Event:
     """A report of one process, in response to a request to whichever process is known."""
 
     def happen(process: Process) -> None:
-        received = dialect.Report({MODEL: version}, False, 1, 0, 0, life.born)
+        received = dialect.Report({MODEL: version}, False, 1, 0, 0, replica_process.born)
         process.known.apply_report(process.pools.get(ID).life, received)
 
     return happen
 
 
-def answer(life: lives.Life, version: int) -> Event:
-    return lambda process: process.pools.learn_version(life, version, 'answer')
+def answer(replica_process: lives.Life, version: int) -> Event:
+    return lambda process: process.pools.learn_version(replica_process, version, 'answer')
 
 
-def loaded(life: lives.Life, version: int) -> Event:
-    message = messages.Loaded(ID, version, version, life.born)
+def loaded(replica_process: lives.Life, version: int) -> Event:
+    message = messages.Loaded(ID, version, version, replica_process.born)
     return lambda process: process.rollouts._handle_loaded(PEER, 'p:1', message)
 
 
-def loading(life: lives.Life, version: int) -> Event:
-    message = messages.Loading(ID, 100.0, version, life.born)
+def loading(replica_process: lives.Life, version: int) -> Event:
+    message = messages.Loading(ID, 100.0, version, replica_process.born)
     return lambda process: process.rollouts._handle_loading(PEER, 'p:1', message)
 
 
-def placed(life: lives.Life, version: int) -> Event:
+def placed(replica_process: lives.Life, version: int) -> Event:
     job = make_job()
-    rows = [(ID, life.born, str(version), job.chain, list(job.ends))]
+    rows = [(ID, replica_process.born, str(version), job.chain, list(job.ends))]
     return lambda process: process.sharing._handle_placed(PEER, 'p:1', messages.Placed(rows))
 
 
-def load(life: lives.Life, _: int) -> Event:
-    message = messages.Loads([(ID, life.mark, (900, 0, 0, 0), 5)], True)
+def load(replica_process: lives.Life, _: int) -> Event:
+    message = messages.Loads([(ID, replica_process.mark, (900, 0, 0, 0), 5)], True)
     return lambda process: process.loads._take(PEER, 'p:1', message)
 
 
-def fail(life: lives.Life, _: int) -> Event:
+def fail(replica_process: lives.Life, _: int) -> Event:
     def happen(process: Process) -> None:
         for _ in range(5):
-            process.pools.note_failure(life)
+            process.pools.note_failure(replica_process)
 
     return happen
 
 
-def replaced(life: lives.Life, _: int) -> Event:
-    return lambda process: process.pools.mark_replaced(life)
+def replaced(replica_process: lives.Life, _: int) -> Event:
+    return lambda process: process.pools.mark_replaced(replica_process)
 
 
-def leave(life: lives.Life, version: int) -> Event:
+def leave(replica_process: lives.Life, version: int) -> Event:
     """The last entry of the process that ended, delivered late by a slow listing."""
-    return lambda process: process.record(3, life, version, 'draining')
+    return lambda process: process.record(3, replica_process, version, 'draining')
 
 
 _EVENTS = st.sampled_from([report, answer, loaded, loading, placed, load, fail, replaced, leave])
@@ -224,8 +235,8 @@
     process = Process()
     process.record(2, NEW, 7)
     process.record(4, OLD, 1)
-    for make_event, life in events:
-        make_event(life, 7 if life == NEW else 2)(process)
+    for make_event, replica_process in events:
+        make_event(replica_process, 7 if replica_process == NEW else 2)(process)
     replica = process.pools.get(ID)
     assert replica.life == OLD
     assert int(replica.weight_version) in (1, 2)
@@ -249,7 +260,7 @@
     process.record(2, OLD, 7)
     process.put(5, 'replicas/r2', b'1000 7 ready')
     job = make_job()
-    process.sources.note_read(OLD, '7', job.chain, job.ends, 1)
+    process.sources.record_read(OLD, '7', job.chain, job.ends, 1)
     prompt = prompts.Prompt(MODEL, (prompts.Part('aa', 800), prompts.Part('own', 50)))
     asking = process.pools.get('r2')
     assert process.sources.choose(asking, job, prompt, 'salt').fetch == f'{ID}:1'
--- a/passpier/tests/routing/marks_tests.py
+++ b/passpier/tests/routing/marks_tests.py
@@ -18,7 +18,7 @@
 
 CRASHING = 7
 OTHER = 8
-LIFE = lives.Life('r1', 1000)
+PROCESS = lives.Life('r1', 1000)
 
 pytestmark = pytest.mark.usefixtures('virtual_clock')
 
@@ -72,8 +72,8 @@
         )
         self.marks = marks.Marks(cast(registry.Registry, source), self.known, self.suspects, name)
 
-    async def observe_crash(self, fingerprint: int, life: lives.Life = LIFE) -> None:
-        self.suspects.note_broken(fingerprint, life)
+    async def observe_crash(self, fingerprint: int, replica_process: lives.Life = PROCESS) -> None:
+        self.suspects.note_broken(fingerprint, replica_process)
         await asyncio.sleep(0.01)
 
     def read(self) -> crashes.Crashes:
@@ -82,7 +82,7 @@
         return self.suspects.crashes
 
 
-async def ended(life: lives.Life) -> bool:
+async def ended(replica_process: lives.Life) -> bool:
     return True
 
 
--- a/passpier/tests/routing/sources_tests.py
+++ b/passpier/tests/routing/sources_tests.py
@@ -36,8 +36,8 @@
     return cache_sources.choose(cache_sources.pools.get(name), job, prompt, 'salt')
 
 
-def note_read(cache_sources: sources.Sources, name: str, job: choice.Job) -> None:
-    cache_sources.note_read(lives.Life(name), '1', job.chain, job.ends, len(job.chain) - 1)
+def record_read(cache_sources: sources.Sources, name: str, job: choice.Job) -> None:
+    cache_sources.record_read(lives.Life(name), '1', job.chain, job.ends, len(job.chain) - 1)
 
 
 def store_parts(cache_sources: sources.Sources, address: str, family: str) -> None:
@@ -81,7 +81,7 @@
     store_parts(cache_sources, store, 'f')
     assert choose(cache_sources, 'r0', 'f') == sources.Source(store)
     job = prompts.build_job(make_prompt('f'), None, 1)
-    note_read(cache_sources, 'r5', job)
+    record_read(cache_sources, 'r5', job)
     assert choose(cache_sources, 'r0', 'f') == sources.Source('a5:1')
     assert choose(cache_sources, 'r5', 'f') == sources.Source(store)
 
@@ -92,12 +92,12 @@
     store = choose(cache_sources, 'r0', 'f').save
     store_parts(cache_sources, store, 'f')
     job = prompts.build_job(make_prompt('f'), None, 1)
-    note_read(cache_sources, 'r5', job)
+    record_read(cache_sources, 'r5', job)
     cache_sources.pools.learn_version(lives.Life('r5'), 2, 'report')
     assert choose(cache_sources, 'r0', 'f').fetch == store
-    note_read(cache_sources, 'r6', job)
+    record_read(cache_sources, 'r6', job)
     cache_sources.pools.silent.add('r6')
     assert choose(cache_sources, 'r0', 'f').fetch == store
-    note_read(cache_sources, 'r7', job)
+    record_read(cache_sources, 'r7', job)
     monkeypatch.setattr(clocks, 'now', lambda: 100.0 + sources.IN_MEMORY_SECONDS + 0.1)
     assert choose(cache_sources, 'r0', 'f').fetch == store
--- a/passpier/tests/routing/throttling_tests.py
+++ b/passpier/tests/routing/throttling_tests.py
@@ -16,7 +16,7 @@
 from passpier.standins import network, virtual
 from passpier.standins.platform import promises
 
-LIFE = lives.Life('llm-0', 7)
+REPLICA_PROCESS = lives.Life('llm-0', 7)
 LIMITED = backpressure.Signal(limit=1.0)
 PROCESSES = 8
 SEEDS = 2
@@ -41,16 +41,18 @@
         self.pools = pools.Pools(10.0)
         services = {'app': routes.Service('app', 100)}
         self.pools.apply_configuration(routes.Configuration(1, services=services))
-        self.start_replica(LIFE)
+        self.start_replica(REPLICA_PROCESS)
         self.link = cast(Any, net.connect(own))
         self.throttling = throttling.Throttling(
             self.pools, self.membership, self.link, self.send_to_peers, random.Random(number)
         )
         self.pools.on_signal = self.throttling.handle_signal
 
-    def start_replica(self, life: lives.Life) -> None:
-        entry = catalogue.Entry(life.id, 'app', 'a:1', 'd0', 8, False, {}, life.born)
-        self.pools.apply_change(catalogue.Change(life.id, entry, 'seen'))
+    def start_replica(self, replica_process: lives.Life) -> None:
+        entry = catalogue.Entry(
+            replica_process.id, 'app', 'a:1', 'd0', 8, False, {}, replica_process.born
+        )
+        self.pools.apply_change(catalogue.Change(replica_process.id, entry, 'seen'))
 
     def send_to_peers(self, message: messages.Limited) -> None:
         others = self.membership.list_interested(clocks.now())
@@ -58,11 +60,11 @@
 
     def receive(self, signal: backpressure.Signal, sent_ago: float | None = 0.0) -> None:
         ran_since = None if sent_ago is None else clocks.now() - sent_ago
-        self.pools.learn_signal(LIFE, signal, ran_since)
+        self.pools.learn_signal(REPLICA_PROCESS, signal, ran_since)
 
     @property
     def replica(self) -> replicas.Replica:
-        return self.pools.replicas[LIFE.id]
+        return self.pools.replicas[REPLICA_PROCESS.id]
 
     @property
     def rate(self) -> float | None:
@@ -173,7 +175,7 @@
     async def check(fleet: Fleet) -> None:
         first = fleet.processes[0]
         first.receive(LIMITED)
-        first.start_replica(lives.Life(LIFE.id, 8))
+        first.start_replica(lives.Life(REPLICA_PROCESS.id, 8))
         assert first.rate is None
         first.receive(LIMITED)
         await asyncio.sleep(1.0)
