--- a/passpier/routing/history.py
+++ b/passpier/routing/history.py
@@ -43,7 +43,7 @@
             _, revision = self._removals.popitem(last=False)
             self._complete_from = max(self._complete_from, revision)
 
-    def begin(self, revision: int) -> None:
+    def mark_incomplete_until(self, revision: int) -> None:
         """Note that removals up to a revision may be missing, as after a full listing."""
         self._complete_from = max(self._complete_from, revision)
 
--- a/passpier/routing/knowledge.py
+++ b/passpier/routing/knowledge.py
@@ -136,7 +136,7 @@
             # Items newer than the listing can't be in it.
             if self._revisions[key] <= revision:
                 self._remove(key, revision, now, awaited)
-        self._history.begin(revision)
+        self._history.mark_incomplete_until(revision)
 
     def _apply_changed(
         self,
--- a/passpier/tests/routing/relaying_tests.py
+++ b/passpier/tests/routing/relaying_tests.py
@@ -1,4 +1,4 @@
-"""Registry state passed between processes, while the registry changes and is isolated at random.
+"""Registry state passed between processes while the registry changes and connections fail at random.
 
 Whatever is lost, delayed or delivered twice: no process reverts to an older state or claims to be
 fresher than it is, and every process catches up once it reaches one that reads.
@@ -194,7 +194,7 @@
     change_history.note(registry.Item('k3', b'', 10, removed=True))
     changes = change_history.list_since(9)
     assert changes == history.ChangeSet((registry.Item('k3', b'', 10, removed=True),), False)
-    change_history.begin(10)
+    change_history.mark_incomplete_until(10)
     changes = change_history.list_since(9)
     assert changes.whole
     assert {i.key for i in changes.items} == {f'k{n}' for n in range(1, 10)} - {'k3'}
