--- a/passpier/tests/routing/relaying_tests.py
+++ b/passpier/tests/routing/relaying_tests.py
@@ -1,4 +1,4 @@
-"""Registry state passed between processes while the registry changes and connections fail at random.
+"""Registry state passed between processes while it changes and connections fail at random.
 
 Whatever is lost, delayed or delivered twice: no process reverts to an older state or claims to be
 fresher than it is, and every process catches up once it reaches one that reads.
