--- /dev/null
+++ b/passpier/routing/registry_follower.py
@@ -0,0 +1,119 @@
+"""Follows the registry: one full read, then watches for changes while this process is a reader."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+
+from passpier import clocks, exceptions
+from passpier.clients import registry
+from passpier.core import retries
+from passpier.routing import knowledge, relaying
+
+log = logging.getLogger(__name__)
+
+RETRY_BASE = 0.1
+"""Seconds before a failed call is retried; doubled up to `RETRY_MAX`."""
+
+RETRY_MAX = 0.4
+RETRY_SHARED_MAX = 2.0
+"""Maximum seconds before a retry by one of many processes that all fall back to reading."""
+
+ROLE_CHECK_INTERVAL = 0.25
+"""Seconds between checks whether this process should read."""
+
+ROLE_CHECK_MIN = 0.02
+"""Minimum number of seconds between these checks, when the fallback is near."""
+
+BATCH_DELAY = 0.1
+"""Seconds between a change and the next watch, so that further changes come in one response."""
+
+ALL_KEYS = ''
+"""Prefix of all keys."""
+
+
+class RegistryFollower:
+    """Keeps a `Knowledge` up to date."""
+
+    def __init__(
+        self,
+        source: registry.Registry,
+        registry_state: knowledge.Knowledge,
+        relay: relaying.Relay,
+        rng: random.Random,
+    ) -> None:
+        self._source = source
+        self._registry_state = registry_state
+        self._relay = relay
+        self._rng = rng
+        self._failures = 0
+        self._needs_full_read = True
+        self.reachable = False
+        """Whether this process reads the registry and its last call was answered."""
+
+    async def run(self) -> None:
+        """Follow the registry until cancelled."""
+        while True:
+            now = clocks.now()
+            if not self._relay.should_read(now):
+                self.reachable = False
+                self._failures = 0
+                fallback_delay = self._relay.compute_fallback_delay(now)
+                await asyncio.sleep(min(ROLE_CHECK_INTERVAL, max(ROLE_CHECK_MIN, fallback_delay)))
+                continue
+            try:
+                await self._step()
+            except registry.HistoryGoneError as error:
+                log.warning(
+                    'registry history compacted, reading everything again',
+                    extra={'error': str(error)},
+                )
+                self._needs_full_read = True
+            except exceptions.StoreError as error:
+                await self._note_failure(error)
+
+    async def _step(self) -> None:
+        """Read everything, or watch once."""
+        if self._needs_full_read:
+            reading = await self._source.read(ALL_KEYS)
+            self._registry_state.apply_listing(reading, clocks.now())
+            self._needs_full_read = False
+            self._note_answer()
+            return
+        wait = self._registry_state.freshness.choose_wait(clocks.now(), self._rng.random())
+        changes = await self._source.watch(ALL_KEYS, self._registry_state.revision, wait)
+        now = clocks.now()
+        self._registry_state.take_changes(changes, wait, now)
+        self._registry_state.expire(now)
+        self._note_answer()
+        if changes.items:
+            await asyncio.sleep(BATCH_DELAY)
+
+    def _note_answer(self) -> None:
+        if not self.reachable:
+            self.reachable = True
+            log.info(
+                'registry reachable',
+                extra={'revision': self._registry_state.revision, 'failures': self._failures},
+            )
+            if self._failures:
+                self._registry_state.catalogue.note_disturbance(clocks.now())
+        self._failures = 0
+
+    async def _note_failure(self, error: exceptions.StoreError) -> None:
+        now = clocks.now()
+        self._registry_state.catalogue.note_disturbance(now)
+        self._failures += 1
+        if self.reachable or self._failures == 1:
+            self.reachable = False
+            log.warning(
+                'registry unreachable',
+                extra={
+                    'error': str(error),
+                    'age': round(self._registry_state.freshness.compute_age(now), 3),
+                },
+            )
+        pause = retries.compute_backoff(self._failures, self._rng, RETRY_BASE, RETRY_MAX)
+        sharers = self._relay.count_sharers(now)
+        await asyncio.sleep(pause if sharers <= 1 else min(RETRY_SHARED_MAX, pause * sharers))
--- a/passpier/routing/requests.py
+++ b/passpier/routing/requests.py
@@ -1,4 +1,4 @@
-"""A client's request with its rules, as the dispatcher takes it and as an upstream gets it."""
+"""A client's request with its route and account, and how dispatcher and upstream see it."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from passpier.routing import dialect, sources
 
 HOLD_SHARE = 0.5
-"""Part of a request's objective for which it may wait here for a replica."""
+"""Fraction of a request's objective for which it may be queued here for a replica."""
 
 
 class Admitted(msgspec.Struct, frozen=True, dict=True):
-    """A request with the rules that it falls under."""
+    """A request with the route and the account that apply to it."""
 
-    ask: dialect.Ask
+    client_request: dialect.Ask
     route: routes.Route
     account: routes.Account | None
     body: bytes
@@ -28,33 +28,33 @@
 
     @property
     def priority(self) -> int:
-        """0 is the most urgent."""
+        """The priority; 0 is the most urgent."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
 
     @functools.cached_property
     def fingerprint(self) -> int:
-        """What names the request when it comes again, under whatever id."""
-        ask = self.ask
-        account = self.account.name if self.account is not None else ask.key or ''
+        """A hash that identifies the request when it is sent again under another id."""
+        client_request = self.client_request
+        account = self.account.name if self.account is not None else client_request.key or ''
         return fingerprints.compute_fingerprint(
-            account, ask.method, ask.host, ask.target, self.body
+            account, client_request.method, client_request.host, client_request.target, self.body
         )
 
     @property
     def ends_at(self) -> float:
-        """When the client, or the operator, no longer wants an answer."""
-        patience = self.route.timeout
-        if self.ask.patience is not None:
-            patience = min(patience, self.ask.patience)
-        return self.arrived_at + patience
+        """When the client stops waiting, or the operator's timeout is reached."""
+        timeout = self.route.timeout
+        if self.client_request.patience is not None:
+            timeout = min(timeout, self.client_request.patience)
+        return self.arrived_at + timeout
 
 
 def build_call(admitted: Admitted, service: str) -> calls.Call:
-    """Return a request as the dispatcher takes it."""
+    """Return the call to be dispatched for a request."""
     route = admitted.route
-    prompt = admitted.ask.prompt
+    prompt = admitted.client_request.prompt
     priority = min(max(0, admitted.priority), replicas.LEAST_URGENT)
     hold = min(route.objective * HOLD_SHARE, admitted.ends_at - admitted.arrived_at)
     declared = declarations.Service(
@@ -64,20 +64,20 @@
         priority=priority,
         deadline_ms=max(1, int(hold * 1000)),
     )
-    life = attempts.Life(
+    attempt_state = attempts.Life(
         route.kind.is_repeatable,
         resumable=False,
         continuable=route.kind is routes.Kind.RESUMABLE_STREAM,
         max_attempts=route.max_attempts,
     )
     call = calls.Call(
-        admitted.ask.id,
+        admitted.client_request.id,
         declarations.Account(admitted.account.name if admitted.account else ''),
         declared,
-        admitted.ask.target,
+        admitted.client_request.target,
         'cost' if prompt else 'least_load',
         admitted.arrived_at,
-        life,
+        attempt_state,
     )
     if prompt is None:
         call.job = choice.Job([], 1, 0, priority=priority)
@@ -92,36 +92,38 @@
     replica: replicas.Replica,
     time_left: float,
     last_event: str,
-    known: sources.Sources,
+    cache_sources: sources.Sources,
     wire: dialect.Dialect,
     may_send: Callable[[], bool],
 ) -> exchanges.Request:
-    """Return one attempt as an upstream gets it; `time_left` is in seconds."""
-    ask = admitted.ask
+    """Return one attempt as it is sent to an upstream; `time_left` is in seconds."""
+    client_request = admitted.client_request
     salt = ''
     source = sources.Source()
-    if ask.prompt is not None:
-        # The salt names the weights that the replica has, and the same send asks for just those.
-        salt = prompts.render_salt(admitted.account, ask.prompt.model, replica.weight_version)
-        source = known.choose(replica, job, ask.prompt, salt)
-    sending = dialect.Sending(
+    if client_request.prompt is not None:
+        # The salt depends on the replica's weights, and the request asks for just these.
+        salt = prompts.render_salt(
+            admitted.account, client_request.prompt.model, replica.weight_version
+        )
+        source = cache_sources.choose(replica, job, client_request.prompt, salt)
+    added = dialect.Sending(
         replica.incarnation,
         replica.weight_version,
         admitted.account.name if admitted.account else '',
         time_left,
-        admitted.priority if ask.prompt is not None else None,
+        admitted.priority if client_request.prompt is not None else None,
         salt,
         source.fetch,
         source.save,
         last_event,
     )
     return exchanges.Request(
-        ask.method,
-        ask.target,
-        wire.write_request(ask, sending),
+        client_request.method,
+        client_request.target,
+        wire.write_request(client_request, added),
         admitted.body,
         wire.id_header,
-        ask.id,
+        client_request.id,
         once=not admitted.route.kind.is_repeatable,
         may_send=may_send,
     )
