--- a/passpier/daemon/dispatcher.py
+++ b/passpier/daemon/dispatcher.py
@@ -1,4 +1,4 @@
-"""Queues calls before the upstreams and places each on a replica; logs every decision."""
+"""Queues calls per pool, assigns each to a replica and logs every routing decision."""
 
 from __future__ import annotations
 
@@ -19,45 +19,45 @@
 
 log = logging.getLogger(__name__)
 
-PUMP_INTERVAL = 0.02
-"""Seconds between looks at a queue that waits for room."""
+QUEUE_CHECK_INTERVAL = 0.02
+"""Seconds between attempts to place queued calls."""
 
 DECISIONS_KEPT = 2000
-"""Requests whose decisions `explain` can show."""
+"""Number of requests whose decisions are kept for `explain`."""
 
-LOGGED = 5
-"""Candidates that the line of a decision shows; it tells how many there were."""
+MAX_LOGGED_CANDIDATES = 5
+"""Maximum number of candidates in the log line of a decision, which also has the total count."""
 
 RATE_SHARE = 0.05
-"""Weight of a new sample in the measured drain rate."""
+"""Weight of a new sample in the moving average of the drain rate."""
 
 RETRY_UNKNOWN = 1.0
-"""Seconds after which a caller should come back where nothing tells when there will be room."""
+"""Retry delay, in seconds, where it is unknown when an upstream will have capacity."""
 
 RETRY_MAX = 10.0
-"""Seconds after which a caller that no upstream can serve should come back at the latest."""
+"""Maximum retry delay, in seconds, for callers that no upstream can serve."""
 
-RETRY_SPREAD = 0.5
-"""Part of the wait by which callers that are refused together come back apart."""
+RETRY_JITTER = 0.5
+"""Maximum jitter, as a fraction of the retry delay, to spread callers that are refused together."""
 
 
 class Pools(Protocol):
-    """The upstreams that calls are placed on."""
+    """The pools of upstreams that calls are assigned to."""
 
     cache: view.CacheView
 
     def get(self, name: str) -> replicas.Replica:
-        """Return a known upstream."""
+        """Return an upstream by name."""
 
     def list_serving(self, pool: str, version: str = '') -> list[replicas.Replica]:
-        """Return the upstreams of a pool that take new work and serve the wanted weights."""
+        """Return the upstreams of a pool that accept new work and serve a weight version."""
 
     def describe_weights(self, name: str) -> Mapping[str, object]:
-        """Return what the line of a decision tells of an upstream's weights, and how old it is."""
+        """Return the log fields for an upstream's weights and the age of that information."""
 
 
 class Placement(msgspec.Struct):
-    """A call's place at a replica, until it is ended."""
+    """The assignment of one attempt of a call to a replica, until it is ended."""
 
     call: calls.Call
     replica: replicas.Replica
@@ -66,6 +66,8 @@
 
 
 class _Waiting(msgspec.Struct):
+    """An attempt that waits for its placement."""
+
     call: calls.Call
     exclude: frozenset[str]
     attempt: str
@@ -73,26 +75,26 @@
 
 
 class _Pool:
-    """A pool's queue with its measured drain rate in tokens a second."""
+    """A pool's queue and its measured drain rate, in tokens per second."""
 
     def __init__(self) -> None:
         self.queue: admission.FairQueue[_Waiting] = admission.FairQueue()
         self.rate = 0.0
-        self.taken_at = 0.0
-        self.pump: asyncio.Task[None] | None = None
+        self.last_placed_at = 0.0
+        self.worker: asyncio.Task[None] | None = None
 
 
 class Dispatcher:
-    """Decides when and where each call goes."""
+    """Decides when each call is sent and to which replica."""
 
     def __init__(
         self,
-        known: Pools,
+        pools: Pools,
         counters: metrics.Metrics,
         rng: random.Random,
         decisions_kept: int = DECISIONS_KEPT,
     ) -> None:
-        self._upstreams = known
+        self._upstreams = pools
         self._counters = counters
         self._decisions_kept = decisions_kept
         self._pools: dict[str, _Pool] = collections.defaultdict(_Pool)
@@ -103,7 +105,7 @@
     async def place(
         self, call: calls.Call, attempt: str, exclude: Collection[str] = ()
     ) -> Placement | exceptions.Failure:
-        """Return a place for an attempt, or why there is none; waits while replicas are full."""
+        """Return the placement of an attempt, or the failure; waits while all replicas are full."""
         pool = self._pools[call.service.pool]
         waiting = _Waiting(
             call, frozenset(exclude), attempt, asyncio.get_running_loop().create_future()
@@ -117,47 +119,47 @@
             self._log_refusal(call, refusal)
             return refusal
         pool.queue.put(self._make_ticket(waiting))
-        self._start_pump(call.service.pool, pool)
+        self._start_worker(call.service.pool, pool)
         try:
             return await waiting.result
         except asyncio.CancelledError:
-            self._give_back(waiting)
+            self._end_unclaimed(waiting)
             raise
 
     def has_place(self, call: calls.Call, exclude: Collection[str]) -> bool:
-        """Return whether an attempt could be placed at once on a replica that is not excluded."""
+        """Return whether an attempt could be placed now on a replica that is not excluded."""
         now = clocks.now()
         serving = self._upstreams.list_serving(call.service.pool, call.weight_version)
         return any(r.name not in exclude and replicas.has_room(r, now) for r in serving)
 
     def end(self, placement: Placement) -> None:
-        """Give a place back."""
+        """End a placement and free its capacity."""
         replicas.end_dispatch(placement.replica, placement.attempt, clocks.now())
         pool = self._pools[placement.call.service.pool]
         if len(pool.queue):
-            self._pump(placement.call.service.pool, pool)
+            self._place_queued(placement.call.service.pool, pool)
 
     def abandon(self, call: calls.Call) -> None:
-        """Take a call whose caller has gone out of its queue."""
+        """Remove a call from its queue because its caller has disconnected."""
         call.cancelled = True
         pool = self._pools[call.service.pool]
         for ticket in pool.queue.remove(lambda t: t.item.call is call):
             self._refuse(ticket.item, exceptions.Code.BAD_REQUEST, 'the caller has gone', None)
 
     def list_decisions(self, request: str) -> list[bytes]:
-        """Return the logged decisions of a request as JSON."""
+        """Return the decisions logged for a request, encoded as JSON."""
         return self._decisions.get(request, [])
 
     def has_waiting(self, call: calls.Call) -> bool:
-        """Return whether the account of a call has more work waiting for the same pool."""
+        """Return whether the account of a call has other calls queued for the same pool."""
         return self._pools[call.service.pool].queue.has_waiting(call.account.name)
 
     def count_queued(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of queued calls."""
         return sum(len(pool.queue) for pool in self._pools.values())
 
-    def _give_back(self, waiting: _Waiting) -> None:
-        """End a placement that its caller did not live to see."""
+    def _end_unclaimed(self, waiting: _Waiting) -> None:
+        """End a placement that was made just before its waiting task was cancelled."""
         if not waiting.result.done() or waiting.result.cancelled():
             return
         placed = waiting.result.result()
@@ -177,10 +179,10 @@
             return refusal
         if not any(replicas.has_room(r, now) for r in usable):
             return None
-        # While the pool has room, a busy replica that holds the prefix may still be the best.
-        open_ones = [r for r in usable if replicas.is_open(r, now)]
+        # While the pool has capacity, a busy replica that has the prefix cached may be the best.
+        available = [r for r in usable if replicas.is_open(r, now)]
         chosen = choice.choose(
-            call.job, open_ones, self._upstreams.cache, self._policies[call.policy], now
+            call.job, available, self._upstreams.cache, self._policies[call.policy], now
         )
         if chosen is None:
             return None
@@ -192,7 +194,7 @@
         return Placement(call, replica, waiting.attempt, chosen)
 
     def _check_ready(self, waiting: _Waiting) -> exceptions.Failure | None:
-        """Refuse a call whose deadline is over before any upstream wants another request."""
+        """Refuse a call whose deadline passes before any upstream accepts another request."""
         call = waiting.call
         now = clocks.now()
         usable = self._list_usable(waiting)
@@ -200,29 +202,30 @@
         if ready_at <= max(now, call.deadline):
             return None
         wait = ready_at - now if math.isfinite(ready_at) else RETRY_UNKNOWN
-        retry_after = min(wait * self._rng.uniform(1.0, 1.0 + RETRY_SPREAD), RETRY_MAX)
+        retry_after = min(wait * self._rng.uniform(1.0, 1.0 + RETRY_JITTER), RETRY_MAX)
         message = 'all upstreams have asked for fewer requests'
         return exceptions.Failure(
             exceptions.Code.OVERLOADED, call.life.outcome, message, retry_after
         )
 
     def _list_usable(self, waiting: _Waiting) -> list[replicas.Replica]:
-        """Return the upstreams for a call, without excluded ones if there are others."""
+        """Return the upstreams for a call, including excluded ones only if there are no others."""
         call = waiting.call
         serving = self._upstreams.list_serving(call.service.pool, call.weight_version)
         return [r for r in serving if r.name not in waiting.exclude] or serving
 
     def _check_queue(self, pool: _Pool, call: calls.Call) -> exceptions.Failure | None:
+        """Refuse a call if its predicted wait exceeds its deadline or the queue is full."""
         tokens = call.job.prompt_tokens
         ahead = pool.queue.count_ahead(
             call.account.name, call.account.weight, call.service.priority, tokens
         )
         wait = admission.predict_wait(ahead, self._get_rate(pool, call)) if ahead else 0.0
-        late = clocks.now() + wait - call.deadline
-        if late > 0:
-            message = f'the first token would come {late:.2f} s after its deadline'
+        overdue = clocks.now() + wait - call.deadline
+        if overdue > 0:
+            message = f'the first token would come {overdue:.2f} s after its deadline'
             code = exceptions.Code.DEADLINE
-            return exceptions.Failure(code, call.life.outcome, message, max(0.1, late))
+            return exceptions.Failure(code, call.life.outcome, message, max(0.1, overdue))
         if len(pool.queue) >= admission.MAX_WAITING:
             code = exceptions.Code.OVERLOADED
             return exceptions.Failure(code, call.life.outcome, 'too many wait', max(1.0, wait))
@@ -245,20 +248,20 @@
             call.deadline,
         )
 
-    def _start_pump(self, name: str, pool: _Pool) -> None:
-        if pool.pump is None or pool.pump.done():
-            pool.taken_at = clocks.now()
-            pool.pump = asyncio.ensure_future(self._run_pump(name, pool))
+    def _start_worker(self, name: str, pool: _Pool) -> None:
+        if pool.worker is None or pool.worker.done():
+            pool.last_placed_at = clocks.now()
+            pool.worker = asyncio.ensure_future(self._run_worker(name, pool))
 
-    async def _run_pump(self, name: str, pool: _Pool) -> None:
+    async def _run_worker(self, name: str, pool: _Pool) -> None:
         while len(pool.queue):
-            self._pump(name, pool)
-            self._drop_late(pool)
+            self._place_queued(name, pool)
+            self._refuse_expired(pool)
             self._counters.queued.set({'pool': name}, len(pool.queue))
-            await asyncio.sleep(PUMP_INTERVAL)
+            await asyncio.sleep(QUEUE_CHECK_INTERVAL)
         self._counters.queued.set({'pool': name}, 0)
 
-    def _pump(self, name: str, pool: _Pool) -> None:
+    def _place_queued(self, name: str, pool: _Pool) -> None:
         while len(pool.queue):
             now = clocks.now()
             serving = self._upstreams.list_serving(name)
@@ -272,21 +275,21 @@
             if placed is None:
                 pool.queue.put(ticket)
                 return
-            self._measure(pool, ticket.tokens)
+            self._update_rate(pool, ticket.tokens)
             ticket.item.result.set_result(placed)
 
-    def _measure(self, pool: _Pool, tokens: int) -> None:
+    def _update_rate(self, pool: _Pool, tokens: int) -> None:
         now = clocks.now()
-        sample = tokens / max(now - pool.taken_at, 1e-3)
-        pool.taken_at = now
+        sample = tokens / max(now - pool.last_placed_at, 1e-3)
+        pool.last_placed_at = now
         if pool.rate:
-            # The mean of the inverse: samples are times for known amounts of tokens.
+            # Averages the inverse rate: each sample is the time taken by a known number of tokens.
             inverse = 1 / pool.rate + RATE_SHARE * (1 / sample - 1 / pool.rate)
             pool.rate = 1 / inverse
         else:
             pool.rate = sample
 
-    def _drop_late(self, pool: _Pool) -> None:
+    def _refuse_expired(self, pool: _Pool) -> None:
         now = clocks.now()
         for ticket in pool.queue.remove(lambda t: t.deadline <= now):
             message = 'the first token can no longer come before its deadline'
@@ -323,7 +326,7 @@
             'candidate_count': len(chosen.candidates),
             'candidates': [_render(c) for c in _list_best(chosen)],
         }
-        self._keep(call.id, fields)
+        self._record(call.id, fields)
         log.info('routing decision', extra=fields)
 
     def _log_refusal(self, call: calls.Call, refusal: exceptions.Failure) -> None:
@@ -336,10 +339,10 @@
             'detail': refusal.message,
             'retry_after': refusal.retry_after,
         }
-        self._keep(call.id, fields)
+        self._record(call.id, fields)
         log.info('refusal', extra=fields)
 
-    def _keep(self, request: str, fields: Mapping[str, object]) -> None:
+    def _record(self, request: str, fields: Mapping[str, object]) -> None:
         if not self._decisions_kept:
             return
         self._decisions.setdefault(request, []).append(msgspec.json.encode(fields))
@@ -348,9 +351,12 @@
 
 
 def _list_best(chosen: choice.Choice) -> list[choice.Candidate]:
-    """Return the winner and the cheapest others: a line must not grow with the pool."""
+    """Return the winner and the cheapest others, so that log lines do not grow with the pool."""
     others = [c for c in chosen.candidates if c.name != chosen.name]
-    return [chosen.winner, *heapq.nsmallest(LOGGED - 1, others, key=lambda c: c.total)]
+    return [
+        chosen.winner,
+        *heapq.nsmallest(MAX_LOGGED_CANDIDATES - 1, others, key=lambda c: c.total),
+    ]
 
 
 def _render(candidate: choice.Candidate) -> dict[str, object]:
--- a/passpier/daemon/generation.py
+++ b/passpier/daemon/generation.py
@@ -1,4 +1,4 @@
-"""Runs one model request: attempts, checked chunks, resumption, continuation, cancellation."""
+"""Runs model requests: attempts, validation of chunks, stream resumption and continuation."""
 
 from __future__ import annotations
 
@@ -28,29 +28,31 @@
 log = logging.getLogger(__name__)
 
 FIRST_TOKEN_MIN = 3.0
-"""Seconds that an engine always has for its first token; beyond it, a multiple of the estimate."""
+"""Minimum timeout, in seconds, for the first token."""
 
 FIRST_TOKEN_FACTOR = 5.0
+"""Timeout for the first token as a multiple of its estimated time."""
+
 RESUME_TIMEOUT = 1.0
-"""Seconds that an engine has to take up a stream again."""
+"""Seconds that an engine has to resume an interrupted stream."""
 
-CONTINUE_PATIENCE = 5.0
-"""Seconds for which a stream that has begun may wait for its next engine at the least."""
+MIN_CONTINUE_WAIT = 5.0
+"""Minimum time, in seconds, that a stream that has begun may wait for its next engine."""
 
 PRIORITY_STEP_MS = 250
-"""Milliseconds by which a request overtakes those of the next lower urgency."""
+"""Milliseconds of queueing that one level of priority is worth at the engine."""
 
-QUEUED_STEP_MS = 1000
-"""Milliseconds by which it goes after accounts that have nothing waiting, if its own has."""
+BACKLOG_PENALTY_MS = 1000
+"""Milliseconds by which a request is put back if its account has others queued."""
 
 TOKEN_TIMEOUT = 2.0
-"""Seconds between two tokens after which a stream counts as cut."""
+"""Seconds without a token after which a stream counts as broken."""
 
 _NOT_RUN_STATUSES = frozenset({412, 429, 503})
 
 
 class Piece(msgspec.Struct, frozen=True):
-    """New text for the caller; the last one has a finish reason and the usage."""
+    """Part of an answer's text; the last one has the finish reason and the usage."""
 
     text: str
     finish_reason: str | None = None
@@ -58,16 +60,16 @@
 
 
 class _AttemptError(Exception):
-    """An attempt failed; `broken_off` says that it ended as if the engine's process had ended."""
+    """A failed attempt; `disconnected` means that the engine may have crashed."""
 
-    def __init__(self, fault: attempts.Fault, message: str, broken_off: bool = False) -> None:
+    def __init__(self, fault: attempts.Fault, message: str, disconnected: bool = False) -> None:
         super().__init__(message)
         self.fault = fault
-        self.broken_off = broken_off
+        self.disconnected = disconnected
 
 
 def identify_process(replica: replicas.Replica) -> lives.Life:
-    """Return the engine's process as far as it is known."""
+    """Return the engine process of a replica, by its last known incarnation."""
     return lives.Life(f'{replica.name}/{replica.incarnation}')
 
 
@@ -81,28 +83,28 @@
     def __init__(
         self,
         engine_client: engines.Engines,
-        known: upstreams.Upstreams,
-        places: dispatcher.Dispatcher,
+        known_upstreams: upstreams.Upstreams,
+        call_dispatcher: dispatcher.Dispatcher,
         counters: metrics.Metrics,
         rng: random.Random,
-        under_suspicion: suspects.Suspects,
+        crash_suspects: suspects.Suspects,
     ) -> None:
-        self.suspects = under_suspicion
+        self.suspects = crash_suspects
         self.engines = engine_client
-        self.upstreams = known
-        self.dispatcher = places
+        self.upstreams = known_upstreams
+        self.dispatcher = call_dispatcher
         self.counters = counters
         self.rng = rng
         self.budget = retries.RetryBudget()
         self.pace = pace.Pace()
 
     def run(self, call: calls.Call) -> AsyncGenerator[Piece, None]:
-        """Yield the answer's pieces in order; raises `RequestFailedError` if it cannot be whole."""
+        """Yield the answer's pieces in order; raises `RequestFailedError` on failure."""
         return _Run(self, call).run()
 
 
 class _Run:
-    """The run of one call."""
+    """The state of one call over all its attempts."""
 
     def __init__(self, owner: Generator, call: calls.Call) -> None:
         self._owner = owner
@@ -118,14 +120,14 @@
         self._fingerprint = fingerprints.compute_fingerprint(
             call.account.name, call.method, call.service.name, call.path, _encode(call)
         )
-        self._life = lives.Life('')
-        """The engine's process that the present attempt went to."""
+        self._process = lives.Life('')
+        """The engine process that received the current attempt."""
 
-        self._begun = False
-        """Whether the present send is counted as one under way."""
+        self._is_registered = False
+        """Whether the current attempt is registered with `Suspects` as running."""
 
     async def run(self) -> AsyncGenerator[Piece, None]:
-        """Yield pieces until the answer is whole."""
+        """Yield pieces until the answer is complete."""
         try:
             while True:
                 try:
@@ -136,7 +138,7 @@
                 except _AttemptError as error:
                     await self._recover(error)
         finally:
-            await self._end_place()
+            await self._end_placement()
 
     async def _attempt(self) -> AsyncGenerator[Piece, None]:
         exchange = await self._open()
@@ -146,12 +148,12 @@
             async for piece in self._read(exchange):
                 yield piece
         except web.ExchangeError as error:
-            raise _AttemptError(self._judge(error), str(error), error.sent) from error
+            raise _AttemptError(self._classify(error), str(error), error.sent) from error
         except asyncio.CancelledError:
             self._call.life.may_have_run = True
             raise
         finally:
-            # What follows a whole answer is only its end mark; the connection is used again.
+            # Only the end mark follows a complete answer, so its connection can be reused.
             if not self._tracker.ended:
                 exchange.abort()
 
@@ -179,13 +181,13 @@
         if isinstance(placed, exceptions.Failure):
             raise calls.RequestFailedError(placed)
         placement = self._placement = placed
-        await self._begin_send()
-        self._life = identify_process(placement.replica)
+        await self._register_send()
+        self._process = identify_process(placement.replica)
         self._tracker = streams.Tracker(attempt)
         self._base_tokens = len(self._text)
         call.life.begin()
         body = msgspec.json.encode(self._build_body())
-        # An engine may see a repeatable attempt twice; any other needs its own connection.
+        # Only repeatable attempts may use a kept connection, where the client may send them twice.
         return self._owner.engines.generate(
             placement.replica.address,
             call.path,
@@ -195,23 +197,23 @@
             call.life.repeatable,
         )
 
-    async def _begin_send(self) -> None:
-        """Have the send counted; raises `RequestFailedError` if others have told more meanwhile."""
-        known = self._owner.suspects
-        judgement = await known.judge_finally(self._fingerprint)
+    async def _register_send(self) -> None:
+        """Register the attempt as running; raises `RequestFailedError` if it may not be sent."""
+        crash_suspects = self._owner.suspects
+        judgement = await crash_suspects.judge_finally(self._fingerprint)
         self._check_suspicion(judgement)
-        known.begin(self._fingerprint, judgement, self._get_first_timeout())
-        self._begun = True
+        crash_suspects.begin(self._fingerprint, judgement, self._get_first_timeout())
+        self._is_registered = True
 
     def _check_suspicion(self, judgement: crashes.Judgement) -> None:
-        """Refuse a request that has ended engines; raises `RequestFailedError`."""
+        """Refuse a request suspected of crashing engines; raises `RequestFailedError`."""
         if judgement.refused_for is not None:
             raise self._call.fail(
                 exceptions.Code.SUSPECTED, judgement.reason, judgement.retry_after
             )
 
     def _choose_version(self) -> None:
-        """Ask for the weights that are wanted, or still served; a begun answer keeps its own."""
+        """Choose the weight version to request: the configured one, or one that is still served."""
         call = self._call
         assert call.model is not None
         wanted = call.model.weight_version
@@ -242,16 +244,16 @@
         return body
 
     def _compute_priority(self) -> int:
-        """Return the engine's priority number: lower goes first.
+        """Return the priority number for the engine, where lower goes first.
 
-        It ages: a less urgent request is overtaken only by what is sent shortly after it, or one
-        service's flood would keep it waiting at the engine for good.
+        It grows with the time of sending, so that only requests sent shortly after a less urgent
+        one can overtake it. Otherwise one busy service could starve others at the engine.
         """
         number = (
             int(clocks.read_time_of_day() * 1000) + self._call.service.priority * PRIORITY_STEP_MS
         )
         if self._owner.dispatcher.has_waiting(self._call):
-            number += QUEUED_STEP_MS
+            number += BACKLOG_PENALTY_MS
         return number
 
     async def _check_head(self, exchange: web.Exchange) -> None:
@@ -266,7 +268,7 @@
         identity = engines.parse_identity(head.headers)
         before = replica.incarnation
         self._owner.upstreams.learn_identity(replica, identity)
-        self._life = identify_process(replica)
+        self._process = identify_process(replica)
         if head.status != 200:
             refused = (
                 head.status in _NOT_RUN_STATUSES and head.headers.get('X-Outcome') == 'not_run'
@@ -282,7 +284,7 @@
         self._note_dispatched(replica, identity)
 
     def _note_dispatched(self, replica: replicas.Replica, identity: engines.Identity) -> None:
-        # From the first byte on the prompt is being computed there, whatever is cached now.
+        # Once the engine answers it is computing the prompt, which then is in its cache.
         key = f'{identity.incarnation}/{identity.weight_version}'
         now = clocks.now()
         chain = self._call.job.chain
@@ -296,7 +298,7 @@
                 data = await asyncio.wait_for(anext(events), timeout)
             except StopAsyncIteration:
                 text = 'the stream ended early'
-                raise _AttemptError(attempts.Fault.CUT, text, broken_off=True) from None
+                raise _AttemptError(attempts.Fault.CUT, text, disconnected=True) from None
             except TimeoutError as error:
                 raise _AttemptError(attempts.Fault.CUT, 'the stream stalled') from error
             chunk = self._decode(data)
@@ -346,7 +348,7 @@
         usage = chunk.usage or engines.Usage()
         cached = usage.prompt_tokens_details.cached_tokens if usage.prompt_tokens_details else 0
         if not self._base_tokens:
-            self._learn(usage.prompt_tokens, cached)
+            self._learn_usage(usage.prompt_tokens, cached)
         self._owner.counters.prompt_tokens.add({'kind': 'cached'}, cached)
         self._owner.counters.prompt_tokens.add({'kind': 'computed'}, usage.prompt_tokens - cached)
         if self._base_tokens:
@@ -374,7 +376,7 @@
             },
         )
 
-    def _learn(self, prompt_tokens: int, cached_tokens: int) -> None:
+    def _learn_usage(self, prompt_tokens: int, cached_tokens: int) -> None:
         assert self._placement is not None
         replica = self._placement.replica
         replicas.note_usage(replica, prompt_tokens, cached_tokens)
@@ -390,7 +392,7 @@
             clocks.now(),
         )
 
-    def _judge(self, error: web.ExchangeError) -> attempts.Fault:
+    def _classify(self, error: web.ExchangeError) -> attempts.Fault:
         if not error.sent:
             return attempts.Fault.NOT_CONNECTED
         if self._tracker.next_sequence or self._resuming:
@@ -406,15 +408,15 @@
         call = self._call
         fault = error.fault
         placement = self._placement
-        if error.broken_off and placement is not None and not placement.replica.leaving:
-            self._owner.suspects.note_broken(self._fingerprint, self._life)
+        if error.disconnected and placement is not None and not placement.replica.leaving:
+            self._owner.suspects.note_broken(self._fingerprint, self._process)
         if self._resuming and fault is not attempts.Fault.CUT:
-            # The stream cannot be taken up; what is known of the attempt before still holds.
+            # The stream cannot be resumed; what is known of the original attempt still holds.
             fault = attempts.Fault.NO_ANSWER
             call.life.resumes = attempts.MAX_RESUMES
         now = clocks.now()
         step = call.life.decide(fault, True)
-        # A stream that has begun is finished whatever the budget: its caller has half an answer.
+        # A stream that has begun is continued whatever the budget: its caller has half an answer.
         if step is attempts.Step.RETRY and not self._owner.budget.spend(now):
             step = attempts.Step.FAIL
         self._log_fault(error, step)
@@ -425,9 +427,9 @@
         if self._placement is not None:
             self._owner.upstreams.note_failure(self._placement.replica)
             self._excluded.add(self._placement.replica.name)
-        await self._end_place()
+        await self._end_placement()
         if step is attempts.Step.CONTINUE:
-            call.hold_until = max(call.deadline, now + CONTINUE_PATIENCE)
+            call.hold_until = max(call.deadline, now + MIN_CONTINUE_WAIT)
         if step is attempts.Step.FAIL:
             code = exceptions.Code.STREAM_BROKEN if self._text else exceptions.Code.UPSTREAM_FAILED
             raise call.fail(code, str(error), 1.0)
@@ -447,12 +449,12 @@
             },
         )
 
-    async def _end_place(self) -> None:
+    async def _end_placement(self) -> None:
         placement, self._placement = self._placement, None
         if placement is None:
             return
-        if self._begun:
-            self._begun = False
+        if self._is_registered:
+            self._is_registered = False
             self._owner.suspects.end(self._fingerprint)
         self._owner.dispatcher.end(placement)
         if not self._call.life.completed:
--- a/passpier/daemon/main.py
+++ b/passpier/daemon/main.py
@@ -113,7 +113,7 @@
             self.fleet, places, generator, plain_caller, self.peers, counters
         )
         self.loads = loads.Loads(membership, self.upstreams, self.peers)
-        self.placement = placement.Placement(self.fleet, self.upstreams, engine_client)
+        self.placement = placement.ModelPlacement(self.fleet, self.upstreams, engine_client)
         self.operators = operators.Operators(self.service, self.peers)
 
     async def run(self) -> None:
--- a/passpier/daemon/once.py
+++ b/passpier/daemon/once.py
@@ -1,4 +1,8 @@
-"""Runs requests that may run at most once: at their home, or behind a claim in the store."""
+"""Runs each request with an idempotency key at most once: at its home daemon or after a claim.
+
+A homed key names the daemon incarnation that may run it. Any other key is opaque and has to be
+claimed in the store first.
+"""
 
 from __future__ import annotations
 
@@ -19,27 +23,27 @@
 
 CLAIM_PREFIX = '/passpier/claims/'
 CLAIM_TTL = 86_400
-"""Seconds for which the store remembers a claim."""
+"""Lifetime of a claim in the store, in seconds."""
 
 CLAIM_LEASE_SECONDS = 3_600.0
-"""Seconds for which one lease is used for new claims."""
+"""Seconds for which new claims share one lease."""
 
-CLAIM_GROUP = 64
-"""Claims written by one transaction."""
+MAX_CLAIMS_PER_WRITE = 64
+"""Maximum number of claims written in one transaction."""
 
 CLAIM_TRIES = 3
 FORWARD_TIMEOUT = 15.0
-"""Seconds to wait for the home of a key."""
+"""Seconds to wait for the answer of a key's home daemon."""
 
 UNKNOWN = exceptions.Outcome.UNKNOWN
 NOT_RUN = exceptions.Outcome.NOT_RUN
 
 Execute = Callable[[calls.Call], Awaitable[answers.Answer]]
-Admit = Callable[[calls.Call], bool]
+CanAccept = Callable[[calls.Call], bool]
 
 
 class ClaimRecord(msgspec.Struct, frozen=True):
-    """A claim as the store keeps it; `claimed_at` by the holder's clock, in seconds."""
+    """A claim as stored; `claimed_at` is in seconds of the holder's clock."""
 
     incarnation: str
     nonce: str
@@ -47,7 +51,7 @@
 
 
 class Once:
-    """The keys that this daemon incarnation runs, and the way to those of others."""
+    """Runs calls with keys here, or forwards them to the daemon that may run them."""
 
     def __init__(
         self,
@@ -56,18 +60,18 @@
         store: store_clients.Store,
         retention: float,
         execute: Execute,
-        admit: Admit,
+        can_accept: CanAccept,
     ) -> None:
         self._membership = membership
         self._peers = link
         self._execute = execute
-        self._admit = admit
+        self._can_accept = can_accept
         self._table: claims.KeyTable[answers.Answer] = claims.KeyTable(retention)
         self._running: dict[str, asyncio.Task[answers.Answer]] = {}
         self._replies = peers.Replies()
         self._stopped = False
         self._claimer = Claimer(store, membership.own.incarnation, self._table)
-        link.handle(messages.Forwarded, self._take_answer)
+        link.handle(messages.Forwarded, self._handle_answer)
 
     async def run(self, call: calls.Call) -> answers.Answer:
         """Return the answer of a call with a key; raises `RequestFailedError`."""
@@ -78,24 +82,24 @@
             return await self._run_here(call, key.made_at, False)
         return await self._forward(call, key.incarnation)
 
-    async def cut(self, patience: float) -> None:
-        """End all runs and take no more; waits so many seconds for claims to be given back."""
+    async def cancel_all(self, timeout: float) -> None:
+        """Cancel all runs and accept no more; waits up to `timeout` seconds for claim releases."""
         self._stopped = True
         running = list(self._running.values())
         for task in running:
             task.cancel()
         if running:
-            await asyncio.wait(running, timeout=patience)
+            await asyncio.wait(running, timeout=timeout)
 
     async def _run_here(self, call: calls.Call, made_at: float, opaque: bool) -> answers.Answer:
         name = f'{call.account.name}/{call.key}'
         verdict = self._table.begin(name, made_at, clocks.read_time_of_day())
-        if verdict is claims.Verdict.RUN and (self._stopped or not self._admit(call)):
+        if verdict is claims.Verdict.RUN and (self._stopped or not self._can_accept(call)):
             self._table.fail(name, False)
-            # Of an opaque key others may know more.
-            raise _refuse_stop(UNKNOWN if opaque else NOT_RUN)
+            # Another daemon may have run an opaque key.
+            raise _make_draining_error(UNKNOWN if opaque else NOT_RUN)
         if verdict is claims.Verdict.RUN:
-            self._running[name] = asyncio.ensure_future(self._track(name, call, opaque))
+            self._running[name] = asyncio.ensure_future(self._run_key(name, call, opaque))
         if verdict in (claims.Verdict.RUN, claims.Verdict.JOIN):
             return await asyncio.shield(self._running[name])
         if verdict is claims.Verdict.ANSWER:
@@ -104,9 +108,9 @@
             return answers.Answer(answer.status, answer.content_type, answer.body, True)
         raise calls.RequestFailedError(_FAILURES[verdict])
 
-    async def _track(self, name: str, call: calls.Call, opaque: bool) -> answers.Answer:
-        """Run a key that is marked as running until everything about it has ended."""
-        owned = not opaque
+    async def _run_key(self, name: str, call: calls.Call, opaque: bool) -> answers.Answer:
+        """Run a key that is marked as running, and record its result."""
+        holds_key = not opaque
         may_have_run = False
         answer = None
         try:
@@ -114,40 +118,40 @@
                 holder = await self._claim(name)
                 if holder != self._membership.own.incarnation:
                     return await self._forward(call, holder)
-                owned = True
-            answer = await self._execute_or_cut(call)
+                holds_key = True
+            answer = await self._execute_cancellable(call)
             return answer
         except calls.RequestFailedError as error:
             may_have_run = error.failure.outcome is not exceptions.Outcome.NOT_RUN
-            if opaque and owned and not may_have_run:
+            if opaque and holds_key and not may_have_run:
                 await self._claimer.release(name)
             raise
         except BaseException:
             may_have_run = True
             if self._stopped:
-                raise _refuse_stop(UNKNOWN) from None
+                raise _make_draining_error(UNKNOWN) from None
             raise
         finally:
             del self._running[name]
             if answer is not None:
                 self._table.finish(name, answer, len(answer.body))
             else:
-                self._table.fail(name, owned and may_have_run)
+                self._table.fail(name, holds_key and may_have_run)
 
-    async def _execute_or_cut(self, call: calls.Call) -> answers.Answer:
+    async def _execute_cancellable(self, call: calls.Call) -> answers.Answer:
         try:
             return await self._execute(call)
         except asyncio.CancelledError:
             if not self._stopped:
                 raise
-            raise _refuse_stop(call.life.outcome) from None
+            raise _make_draining_error(call.life.outcome) from None
 
     async def _claim(self, name: str) -> str:
         """Return the incarnation that may run an opaque key."""
         try:
             holder = await self._claimer.claim(name)
         except exceptions.StoreError as error:
-            # Nothing was sent now, but another daemon may have run this key before.
+            # Nothing was sent now, but another daemon may have run this key earlier.
             failure = exceptions.Failure(
                 exceptions.Code.STORE_UNAVAILABLE,
                 exceptions.Outcome.UNKNOWN,
@@ -162,9 +166,9 @@
     async def _forward(self, call: calls.Call, incarnation: str) -> answers.Answer:
         member = self._membership.get(incarnation)
         if member is None:
-            raise _lose_home(call)
-        if not self._admit(call):
-            raise _refuse_stop(UNKNOWN)
+            raise _make_unreachable_error(call)
+        if not self._can_accept(call):
+            raise _make_draining_error(UNKNOWN)
         id = uuid.uuid4().hex
         service = call.service.name if call.service.kind == 'plain' else ''
         log.info(
@@ -183,18 +187,18 @@
         self._peers.send(member.peer, message)
         answer = await self._replies.wait(id, FORWARD_TIMEOUT)
         if not isinstance(answer, messages.Forwarded):
-            raise _lose_home(call)
+            raise _make_unreachable_error(call)
         if answer.failure:
             failure = msgspec.json.decode(answer.failure, type=exceptions.Failure)
             raise calls.RequestFailedError(failure)
         return answers.Answer(answer.status, answer.content_type, answer.body)
 
-    def _take_answer(self, sender: str, address: str, message: messages.Forwarded) -> None:
+    def _handle_answer(self, sender: str, address: str, message: messages.Forwarded) -> None:
         self._replies.resolve(message.id, message)
 
 
 class Claimer:
-    """Claims keys in the store by create-if-absent, many in one transaction."""
+    """Claims keys in the store by create-if-absent, in batches."""
 
     def __init__(
         self,
@@ -211,10 +215,10 @@
         self._leased_at = float('-inf')
 
     async def claim(self, name: str) -> str:
-        """Return the incarnation that may run a key, this one or the holder of an older claim.
+        """Return the incarnation that may run a key: this one, or the holder of an earlier claim.
 
-        An empty string stands for this incarnation's own claim from before what its table
-        remembers. Raises `StoreError` if the store does not settle it.
+        Returns an empty string if this incarnation claimed the key too long ago for its table to
+        cover. Raises `StoreError` if the outcome of the claim stays unknown.
         """
         record = ClaimRecord(self._incarnation, uuid.uuid4().hex, clocks.read_time_of_day())
         for attempt in range(CLAIM_TRIES):
@@ -231,7 +235,7 @@
         raise exceptions.StoreError('the claim was not settled')
 
     async def release(self, name: str) -> None:
-        """Give up a claim of this incarnation; that the store does not answer does no harm."""
+        """Delete a claim of this incarnation; failures of the store are ignored."""
         key = _get_claim_key(name)
         try:
             value = await self._store.get(key)
@@ -249,10 +253,10 @@
         found = _decode_claim(value)
         if found.nonce == record.nonce or found.incarnation != self._incarnation:
             return found.incarnation
-        # Only this incarnation can have run it, and its table would know.
+        # Only this incarnation can have run the key, and its table shows whether it did.
         if not self._table.covers(found.claimed_at):
             return ''
-        # A release whose answer was lost may still come; it must not meet the claim used now.
+        # A release without an answer may still take effect; rewriting the claim makes it fail.
         put = store_clients.Put(key, msgspec.json.encode(record), await self._get_lease())
         renewed = await self._store.write([put], [store_clients.IsAt(key, value.mod_revision)])
         return self._incarnation if renewed else None
@@ -266,34 +270,34 @@
 
     async def _run_writer(self) -> None:
         while self._waiting:
-            group = self._waiting[:CLAIM_GROUP]
-            del self._waiting[:CLAIM_GROUP]
+            batch = self._waiting[:MAX_CLAIMS_PER_WRITE]
+            del self._waiting[:MAX_CLAIMS_PER_WRITE]
             try:
-                await self._write_group(group)
+                await self._write_batch(batch)
             except exceptions.StoreError as error:
-                # The lease may be what the store does not know any more.
+                # The lease may have expired in the store.
                 self._leased_at = float('-inf')
-                for _, _, future in group:
+                for _, _, future in batch:
                     if not future.done():
                         future.set_exception(exceptions.StoreError(str(error)))
 
-    async def _write_group(
-        self, group: list[tuple[str, ClaimRecord, asyncio.Future[None]]]
+    async def _write_batch(
+        self, batch: list[tuple[str, ClaimRecord, asyncio.Future[None]]]
     ) -> None:
         lease = await self._get_lease()
-        keys = [_get_claim_key(name) for name, _, _ in group]
+        keys = [_get_claim_key(name) for name, _, _ in batch]
         puts = [
             store_clients.Put(key, msgspec.json.encode(record), lease)
-            for key, (_, record, _) in zip(keys, group, strict=True)
+            for key, (_, record, _) in zip(keys, batch, strict=True)
         ]
         if await self._store.write(puts, [store_clients.IsAt(key, 0) for key in keys]):
-            for _, _, future in group:
+            for _, _, future in batch:
                 future.set_result(None)
-        elif len(group) == 1:
-            group[0][2].set_exception(exceptions.ConflictError(group[0][0]))
+        elif len(batch) == 1:
+            batch[0][2].set_exception(exceptions.ConflictError(batch[0][0]))
         else:
-            for item in group:
-                await self._write_group([item])
+            for item in batch:
+                await self._write_batch([item])
 
     async def _get_lease(self) -> int:
         now = clocks.now()
@@ -328,11 +332,11 @@
 }
 
 
-def _refuse_stop(outcome: exceptions.Outcome) -> calls.RequestFailedError:
+def _make_draining_error(outcome: exceptions.Outcome) -> calls.RequestFailedError:
     return calls.refuse_stopping('this daemon stops before there could be an answer', outcome)
 
 
-def _lose_home(call: calls.Call) -> calls.RequestFailedError:
+def _make_unreachable_error(call: calls.Call) -> calls.RequestFailedError:
     message = 'the only daemon that may run this key cannot be reached; it may have run'
     code = exceptions.Code.REPEATED
     return calls.RequestFailedError(exceptions.Failure(code, exceptions.Outcome.UNKNOWN, message))
--- a/passpier/daemon/placement.py
+++ b/passpier/daemon/placement.py
@@ -1,4 +1,4 @@
-"""Gives orders to engines, one daemon at a time, until they serve the weights that are wanted."""
+"""Orders engines to load the configured weights; only one daemon at a time does so."""
 
 from __future__ import annotations
 
@@ -14,40 +14,43 @@
 log = logging.getLogger(__name__)
 
 INTERVAL = 1.0
-"""Seconds between looks at what upstreams serve."""
+"""Seconds between checks of the weights that upstreams serve."""
 
 
-class Placement:
-    """The orders of this daemon while it holds the placement lease."""
+class ModelPlacement:
+    """Issues weight-loading orders while this daemon holds the placement lease."""
 
     def __init__(
-        self, own: fleet.Fleet, known: upstreams.Upstreams, engine_client: engines.Engines
+        self,
+        local_fleet: fleet.Fleet,
+        known_upstreams: upstreams.Upstreams,
+        engine_client: engines.Engines,
     ) -> None:
-        self._fleet = own
-        self._upstreams = known
+        self._fleet = local_fleet
+        self._upstreams = known_upstreams
         self._engines = engine_client
-        self._book: orders.OrderBook | None = None
+        self._order_book: orders.OrderBook | None = None
 
     async def run(self) -> None:
-        """Look and order until cancelled."""
-        await self._fleet.storage.repeat(INTERVAL, self._step)
+        """Check and issue orders until cancelled."""
+        await self._fleet.storage.repeat(INTERVAL, self._check)
 
-    async def _step(self) -> None:
+    async def _check(self) -> None:
         config = self._fleet.config
         draining = self._fleet.drain.began_at is not None
         if config is None or draining or not self._fleet.storage.lease:
             return
-        if not self._has_work(config) and self._book is None:
+        if not self._has_work(config) and self._order_book is None:
             return
         fence = await self._fleet.storage.take_placement(self._fleet.membership.own.incarnation)
         if not fence:
-            self._book = None
+            self._order_book = None
             return
         now = clocks.now()
-        if self._book is None or self._book.fence != fence:
-            self._book = orders.OrderBook(fence, now)
-        self._book.expire(now)
-        self._order(config, self._book, now)
+        if self._order_book is None or self._order_book.fence != fence:
+            self._order_book = orders.OrderBook(fence, now)
+        self._order_book.expire(now)
+        self._issue_orders(config, self._order_book, now)
 
     def _has_work(self, config: directory.Directory) -> bool:
         observed = {o.upstream: o.weight_version for o in self._observe()}
@@ -62,7 +65,9 @@
             if r.weight_version and not r.leaving
         ]
 
-    def _order(self, config: directory.Directory, book: orders.OrderBook, now: float) -> None:
+    def _issue_orders(
+        self, config: directory.Directory, book: orders.OrderBook, now: float
+    ) -> None:
         observed = self._observe()
         for wanted in book.plan(list_wanted(config), observed, len(observed), now):
             log.info(
@@ -90,7 +95,7 @@
         try:
             answer = await self._engines.order(replica.address, body, orders.LONGEST_ORDER)
         except web.ExchangeError as error:
-            # It may still be carried out: the order stays open until it has certainly ended.
+            # The engine may still execute the order, so it stays open until it must have ended.
             log.warning(
                 'order not answered', extra={'upstream': wanted.upstream, 'error': str(error)}
             )
@@ -100,7 +105,7 @@
 
 
 def list_wanted(config: directory.Directory) -> list[orders.Wanted]:
-    """Return the state that a configuration wants of each engine."""
+    """Return the model and weights that a configuration assigns to each engine."""
     wanted = []
     for pool in config.fleet.pools:
         model = config.find_model_of_pool(pool.name)
--- a/passpier/daemon/plain.py
+++ b/passpier/daemon/plain.py
@@ -1,4 +1,4 @@
-"""Runs one call of a plain service."""
+"""Runs calls of plain HTTP services."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 log = logging.getLogger(__name__)
 
 CALL_TIMEOUT = 10.0
-"""Seconds for a whole call where the service states no deadline."""
+"""Timeout of one attempt, in seconds, for services without a deadline."""
 
 
 def get_timeout(call: calls.Call) -> float:
-    """Return the seconds that one attempt may take."""
+    """Return the timeout of one attempt, in seconds."""
     deadline = call.service.deadline_ms
     return deadline / 1000 if deadline else CALL_TIMEOUT
 
@@ -29,15 +29,15 @@
     def __init__(
         self,
         client: web.Client,
-        known: upstreams.Upstreams,
-        places: dispatcher.Dispatcher,
+        known_upstreams: upstreams.Upstreams,
+        call_dispatcher: dispatcher.Dispatcher,
         budget: retries.RetryBudget,
         counters: metrics.Metrics,
         rng: random.Random,
     ) -> None:
         self._client = client
-        self._upstreams = known
-        self._dispatcher = places
+        self._upstreams = known_upstreams
+        self._dispatcher = call_dispatcher
         self._budget = budget
         self._counters = counters
         self._rng = rng
--- a/passpier/daemon/service.py
+++ b/passpier/daemon/service.py
@@ -109,7 +109,7 @@
         Runs of keys go first, for `patience` seconds at most: what they know of their outcome goes
         to all that wait for them.
         """
-        await self._once.cut(patience)
+        await self._once.cancel_all(patience)
         for request in list(self.requests):
             request.cut()
 
--- a/passpier/tests/daemon/dispatcher_tests.py
+++ b/passpier/tests/daemon/dispatcher_tests.py
@@ -1,4 +1,4 @@
-"""Placement: queues while replicas are full, prompt refusals, nothing left behind."""
+"""Dispatching: queueing while replicas are full, prompt refusals, cleanup of placements."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from passpier.standins import virtual
 
 SLOTS = 2
-BOUND = 3
-"""Requests that a replica of two slots takes: its slots and one that waits."""
+CAPACITY = 3
+"""Requests that a replica with two slots accepts: one per slot, and one that waits."""
 
 
 def make_dispatcher() -> tuple[dispatcher.Dispatcher, replicas.Replica]:
-    known = upstreams.Upstreams(
+    pools = upstreams.Upstreams(
         cast(web.Client, None), cast(engines.Engines, None), None, 1000, metrics.Metrics()
     )
     replica = replicas.Replica('e', '', 'vm', 'd', slots=SLOTS)
-    known.replicas['e'] = replica
-    known.pools['p'] = ['e']
-    return dispatcher.Dispatcher(known, metrics.Metrics(), random.Random(1)), replica
+    pools.replicas['e'] = replica
+    pools.pools['p'] = ['e']
+    return dispatcher.Dispatcher(pools, metrics.Metrics(), random.Random(1)), replica
 
 
 def make_call(id: str, deadline_ms: int = 20_000) -> calls.Call:
@@ -39,72 +39,74 @@
     return call
 
 
-async def place(places: dispatcher.Dispatcher, id: str) -> dispatcher.Placement:
-    placed = await places.place(make_call(id), id)
+async def place(call_dispatcher: dispatcher.Dispatcher, id: str) -> dispatcher.Placement:
+    placed = await call_dispatcher.place(make_call(id), id)
     assert isinstance(placed, dispatcher.Placement)
     return placed
 
 
-async def fill(places: dispatcher.Dispatcher) -> list[dispatcher.Placement]:
-    return [await place(places, f'f{n}') for n in range(BOUND)]
+async def fill(call_dispatcher: dispatcher.Dispatcher) -> list[dispatcher.Placement]:
+    return [await place(call_dispatcher, f'f{n}') for n in range(CAPACITY)]
 
 
-def test_a_full_replica_is_waited_for_and_freed_in_turn() -> None:
+def test_calls_queue_for_a_full_replica() -> None:
     async def run() -> None:
-        places, replica = make_dispatcher()
-        running = await fill(places)
+        call_dispatcher, replica = make_dispatcher()
+        running = await fill(call_dispatcher)
         waiting = [
-            asyncio.ensure_future(places.place(make_call(f'w{n}'), f'w{n}')) for n in range(3)
+            asyncio.ensure_future(call_dispatcher.place(make_call(f'w{n}'), f'w{n}'))
+            for n in range(3)
         ]
         await asyncio.sleep(0)
-        assert places.count_queued() == 3
+        assert call_dispatcher.count_queued() == 3
         for placement in running:
-            places.end(placement)
+            call_dispatcher.end(placement)
         results = await asyncio.gather(*waiting)
         for result in results:
             assert isinstance(result, dispatcher.Placement)
-            places.end(result)
+            call_dispatcher.end(result)
         assert not replica.dispatches
 
     virtual.run(run())
 
 
 @pytest.mark.parametrize('placed_first', [False, True])
-def test_a_caller_that_goes_leaves_no_dispatch_behind(placed_first: bool) -> None:
-    """Cancelled while queued, or in the very moment in which its place was found."""
+def test_a_cancelled_call_leaves_no_dispatch_behind(placed_first: bool) -> None:
+    """The caller disconnects while queued, or just after its call was placed."""
 
     async def run() -> None:
-        places, replica = make_dispatcher()
-        running = await fill(places)
+        call_dispatcher, replica = make_dispatcher()
+        running = await fill(call_dispatcher)
         call = make_call('gone')
-        task = asyncio.ensure_future(places.place(call, 'gone'))
+        task = asyncio.ensure_future(call_dispatcher.place(call, 'gone'))
         await asyncio.sleep(0)
         if placed_first:
-            places.end(running.pop())
+            call_dispatcher.end(running.pop())
             assert 'gone' in replica.dispatches
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        places.abandon(call)
+        call_dispatcher.abandon(call)
         for placement in running:
-            places.end(placement)
+            call_dispatcher.end(placement)
         await asyncio.sleep(1.0)
         assert not replica.dispatches
-        assert not places.count_queued()
+        assert not call_dispatcher.count_queued()
 
     virtual.run(run())
 
 
-def test_an_unreachable_deadline_is_refused_at_once_with_when_to_come_back() -> None:
+def test_an_unreachable_deadline_is_refused_at_once_with_a_retry_delay() -> None:
     async def run() -> None:
-        places, _ = make_dispatcher()
-        await fill(places)
+        call_dispatcher, _ = make_dispatcher()
+        await fill(call_dispatcher)
         waiting = [
-            asyncio.ensure_future(places.place(make_call(f'w{n}'), f'w{n}')) for n in range(40)
+            asyncio.ensure_future(call_dispatcher.place(make_call(f'w{n}'), f'w{n}'))
+            for n in range(40)
         ]
         await asyncio.sleep(0)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        refused = await places.place(make_call('late', deadline_ms=1), 'late')
+        refused = await call_dispatcher.place(make_call('late', deadline_ms=1), 'late')
         assert loop.time() == began
         assert isinstance(refused, exceptions.Failure)
         assert refused.code is exceptions.Code.DEADLINE
@@ -117,73 +119,74 @@
     virtual.run(run())
 
 
-def test_what_came_too_late_is_not_put_down_to_the_upstreams() -> None:
-    """A deadline that is over was taken for upstreams that want fewer requests."""
+def test_an_expired_deadline_is_not_reported_as_overload() -> None:
+    """Guards against reporting an expired deadline as upstreams that limit their requests."""
 
     async def run() -> None:
-        places, _ = make_dispatcher()
-        await fill(places)
+        call_dispatcher, _ = make_dispatcher()
+        await fill(call_dispatcher)
         call = make_call('late')
         call.hold_until = clocks.now() - 1.0
-        refused = await places.place(call, 'late')
+        refused = await call_dispatcher.place(call, 'late')
         assert isinstance(refused, exceptions.Failure)
         assert refused.code is exceptions.Code.DEADLINE
 
     virtual.run(run())
 
 
-def test_a_request_that_lost_its_replica_waits_for_a_place_at_another() -> None:
-    """Replicas crash in a pool that is full: what ran there comes back at the same moment.
+def test_a_request_whose_replica_crashed_waits_for_another() -> None:
+    """Replicas of a full pool crash, and all their requests are placed again at the same time.
 
-    Its first token was due long ago, so that it was refused, and begun streams were cut.
+    The deadline of their first token has passed. They used to be refused for it, which broke
+    streams that had already begun.
     """
 
     async def run() -> None:
-        places, replica = make_dispatcher()
-        running = await fill(places)
+        call_dispatcher, replica = make_dispatcher()
+        running = await fill(call_dispatcher)
         await asyncio.sleep(2.0)
-        lost = [make_call(f'l{n}', deadline_ms=200) for n in range(SLOTS)]
-        for call in lost:
+        crashed = [make_call(f'l{n}', deadline_ms=200) for n in range(SLOTS)]
+        for call in crashed:
             call.arrived_at -= 1.5
             call.life.delivered = 3
             call.hold_until = clocks.now() + 5.0
-        waiting = [asyncio.ensure_future(places.place(c, f'{c.id}.1')) for c in lost]
+        waiting = [asyncio.ensure_future(call_dispatcher.place(c, f'{c.id}.1')) for c in crashed]
         await asyncio.sleep(1.0)
-        assert places.count_queued() == SLOTS
+        assert call_dispatcher.count_queued() == SLOTS
         for placement in running:
-            places.end(placement)
+            call_dispatcher.end(placement)
         for placed in await asyncio.gather(*waiting):
             assert isinstance(placed, dispatcher.Placement)
-            places.end(placed)
+            call_dispatcher.end(placed)
         assert not replica.dispatches
 
     virtual.run(run())
 
 
-def test_no_upstream_is_refused_at_once() -> None:
+def test_a_call_without_upstreams_is_refused_at_once() -> None:
     async def run() -> None:
-        places, replica = make_dispatcher()
+        call_dispatcher, replica = make_dispatcher()
         replicas.set_leaving(replica, 'vm_list', True)
-        refused = await places.place(make_call('x'), 'x')
+        refused = await call_dispatcher.place(make_call('x'), 'x')
         assert isinstance(refused, exceptions.Failure)
         assert refused.code is exceptions.Code.NO_UPSTREAM
 
     virtual.run(run())
 
 
-def test_the_line_of_a_decision_does_not_grow_with_the_pool() -> None:
+def test_the_log_line_of_a_decision_does_not_grow_with_the_pool() -> None:
     async def run() -> None:
-        places, _ = make_dispatcher()
-        known = places._upstreams
-        assert isinstance(known, upstreams.Upstreams)
+        call_dispatcher, _ = make_dispatcher()
+        pools = call_dispatcher._upstreams
+        assert isinstance(pools, upstreams.Upstreams)
         for number in range(70):
-            known.replicas[f'e{number}'] = replicas.Replica(f'e{number}', '', 'vm', 'd', slots=8)
-            known.pools['p'].append(f'e{number}')
-        placement = await place(places, 'r')
-        (line,) = map(msgspec.json.decode, places.list_decisions('r'))
+            pools.replicas[f'e{number}'] = replicas.Replica(f'e{number}', '', 'vm', 'd', slots=8)
+            pools.pools['p'].append(f'e{number}')
+        placement = await place(call_dispatcher, 'r')
+        (line,) = map(msgspec.json.decode, call_dispatcher.list_decisions('r'))
         assert line['candidate_count'] == 71
-        assert len(line['candidates']) == dispatcher.LOGGED
+        assert len(line['candidates']) == dispatcher.MAX_LOGGED_CANDIDATES
         assert line['candidates'][0]['upstream'] == placement.replica.name
-        places.end(placement)
+        call_dispatcher.end(placement)
 
     virtual.run(run())
--- a/passpier/tests/daemon/once_tests.py
+++ b/passpier/tests/daemon/once_tests.py
@@ -1,4 +1,4 @@
-"""A request that may not be repeated runs at most once, and "not run" is true of it."""
+"""Requests with keys run at most once, and are reported as not run only if that is true."""
 
 from __future__ import annotations
 
@@ -35,30 +35,30 @@
 
 
 class Upstream:
-    """Counts the runs of each key: the oracle."""
+    """The test oracle: counts the runs of each key."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.runs: collections.Counter[str] = collections.Counter()
 
     async def execute(self, call: calls.Call) -> answers.Answer:
-        """Run, refuse, or lose the answer."""
-        fate = self.rng.random()
+        """Run the call, refuse it, or lose its answer."""
+        roll = self.rng.random()
         await asyncio.sleep(self.rng.uniform(0.0, 0.05))
-        if fate < 0.2:
+        if roll < 0.2:
             raise call.fail(exceptions.Code.NO_UPSTREAM, 'refused')
         call.life.may_have_run = True
-        if fate < 0.3:
+        if roll < 0.3:
             raise call.fail(exceptions.Code.UPSTREAM_FAILED, 'lost on the way')
         self.runs[call.key] += 1
-        if fate < 0.5:
+        if roll < 0.5:
             raise call.fail(exceptions.Code.UPSTREAM_FAILED, 'answer lost')
         call.life.completed = True
         return answers.Answer(200, 'text/plain', call.key.encode())
 
 
 class Fleet:
-    """Daemons with a faulty store and network between them."""
+    """Daemons with a faulty store and a faulty network."""
 
     once_type: type[once.Once] = once.Once
 
@@ -94,7 +94,7 @@
         return daemon
 
     def restart(self, number: int) -> None:
-        """Replace a daemon by a new incarnation at the same address; its table is lost."""
+        """Restart a daemon at the same address as a new incarnation with an empty key table."""
         old = self.members[number]
         self.members[number] = members.Member(
             old.name, old.incarnation + 'x', old.ip, old.caller_port, old.peer_port, 'd'
@@ -118,7 +118,7 @@
 
 
 async def send(fleet: Fleet, number: int, key: str, results: Results) -> None:
-    """Send a key to a daemon and check the answer; a later `not run` must still be true."""
+    """Send a key to a daemon; an outcome of `not run` must hold for earlier sends, too."""
     ran_before = fleet.upstream.runs[key]
     try:
         answer = await fleet.daemons[number].run(make_call(key, str(uuid_utils.uuid4())))
@@ -170,8 +170,8 @@
     virtual.run(run())
 
 
-class Usurper(once.Once):
-    """Broken variant: runs a key here when its home does not answer."""
+class RunsKeysOfOthers(once.Once):
+    """Broken variant: runs a key here when its home daemon does not answer."""
 
     async def _forward(self, call: calls.Call, incarnation: str) -> answers.Answer:
         try:
@@ -182,8 +182,8 @@
             raise
 
 
-class Impatient(once.Once):
-    """Broken variant: runs an opaque key though its claim was not answered."""
+class RunsUnclaimedKeys(once.Once):
+    """Broken variant: runs an opaque key whose claim got no answer."""
 
     async def _claim(self, name: str) -> str:
         try:
@@ -192,7 +192,7 @@
             return self._membership.own.incarnation
 
 
-@pytest.mark.parametrize('kind', [Usurper, Impatient])
+@pytest.mark.parametrize('kind', [RunsKeysOfOthers, RunsUnclaimedKeys])
 def test_broken_variants_are_caught(kind: type[once.Once]) -> None:
     class BrokenFleet(Fleet):
         once_type = kind
@@ -212,7 +212,7 @@
         find_failure()
 
 
-def test_opaque_keys_are_claimed_in_groups() -> None:
+def test_opaque_keys_are_claimed_in_batches() -> None:
     async def run() -> tuple[int, int]:
         fleet = Fleet(1)
         fleet.upstream.rng = random.Random(5)
@@ -250,7 +250,7 @@
     assert (counts['opaque'], counts['opaque_refused']) == (0, 20)
 
 
-def test_a_key_of_the_home_before_a_restart_is_unknown_for_good() -> None:
+def test_a_key_of_an_earlier_incarnation_stays_unknown() -> None:
     async def run() -> list[exceptions.Outcome]:
         fleet = Fleet(3)
         key = f'{fleet.members[0].incarnation}.{uuid_utils.uuid7()}'
@@ -279,7 +279,7 @@
 
 
 class SlowUpstream(Upstream):
-    """Has a call wait, then runs it for a while."""
+    """Delays each call, then runs it for a while."""
 
     async def execute(self, call: calls.Call) -> answers.Answer:
         await asyncio.sleep(self.rng.uniform(0.0, 0.2))
@@ -289,8 +289,8 @@
         return answers.Answer(200, 'text/plain', call.key.encode())
 
 
-async def cut_one(seed: int) -> collections.Counter[exceptions.Outcome]:
-    """Cut a daemon at any moment; return the outcomes that it told."""
+async def cancel_one(seed: int) -> collections.Counter[exceptions.Outcome]:
+    """Cancel all runs of a daemon at a random time; return the reported outcomes."""
     fleet = Fleet(seed)
     fleet.upstream = SlowUpstream(fleet.rng)
     for daemon in fleet.daemons:
@@ -301,29 +301,29 @@
     sent = [asyncio.ensure_future(send(fleet, 0, key, results)) for key in keys]
     sent += [asyncio.ensure_future(send(fleet, 1, key, results)) for key in keys[3:]]
     await asyncio.sleep(fleet.rng.uniform(0.0, 0.3))
-    await fleet.daemons[0].cut(1.0)
+    await fleet.daemons[0].cancel_all(1.0)
     await asyncio.wait_for(asyncio.gather(*sent), 1.0)
-    told = collections.Counter(o for outcomes in results.values() for o in outcomes)
+    reported = collections.Counter(o for outcomes in results.values() for o in outcomes)
     for key in keys:
         if exceptions.Outcome.NOT_RUN in results[key]:
             assert not fleet.upstream.runs[key]
             await send(fleet, 2, key, results)
-            # A claim was given back, so that another daemon may run the key.
+            # The claim was released, so another daemon may run the key.
             assert key not in keys[:3] or results[key][-1] is exceptions.Outcome.RAN
         assert fleet.upstream.runs[key] <= 1
-    return told
+    return reported
 
 
-def test_a_stop_at_any_moment_answers_every_key_truly() -> None:
-    told: collections.Counter[exceptions.Outcome] = collections.Counter()
+def test_cancelling_at_any_time_reports_true_outcomes() -> None:
+    reported: collections.Counter[exceptions.Outcome] = collections.Counter()
     for seed in range(200):
-        told += virtual.run(cut_one(seed))
-    print(f'cut at any moment: {dict(told)}')
-    assert set(told) == set(exceptions.Outcome)
+        reported += virtual.run(cancel_one(seed))
+    print(f'cancelled at a random time: {dict(reported)}')
+    assert set(reported) == set(exceptions.Outcome)
 
 
 class LateDeleteStore(fakes.FaultyStore):
-    """Takes a deletion, gives no answer, and carries it out later."""
+    """Does not answer deletions, and applies them later."""
 
     async def write(
         self, operations: Sequence[store.Put | store.Delete], conditions: Sequence[store.IsAt] = ()
@@ -338,8 +338,8 @@
         raise exceptions.StoreError('no answer')
 
 
-def test_a_late_release_does_not_free_a_claim_that_was_used_again() -> None:
-    """Found by review: the deletion of a claim must not take the claim of the next run away."""
+def test_a_late_release_does_not_delete_a_renewed_claim() -> None:
+    """A late deletion of a claim must not delete the renewed claim of the next run."""
 
     async def run() -> int:
         fleet = Fleet(4)
