--- a/passpier/daemon/epochs.py
+++ b/passpier/daemon/epochs.py
@@ -1,4 +1,4 @@
-"""Epochs: who holds units of the accounts' limits, agreed through the store."""
+"""Maintains epochs: the set of daemons that hold units of limits, agreed through the store."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 log = logging.getLogger(__name__)
 
 PROPOSE_INTERVAL = 2.0
-"""Seconds between looks at whether the epoch's holders are still right."""
+"""Seconds between checks of the epoch's holders."""
 
-RETRY_SECONDS = 0.2
-"""Seconds after which a newcomer that is in no epoch yet looks again."""
+JOIN_RETRY_SECONDS = 0.2
+"""Seconds after which a new daemon that is not in the epoch yet tries again."""
 
-LONGEST_GAP = 2.5 * PROPOSE_INTERVAL
-"""Seconds between two looks at the store's list beyond which a lease may have come and lapsed
-unseen: less than leases last, unless they are set to half of what they are by themselves."""
+MAX_READ_GAP = 2.5 * PROPOSE_INTERVAL
+"""Seconds between two reads of the members beyond which a lease may have been granted and expired
+unseen. It is below the lifetime of leases, unless that is set to half of its default."""
 
 SMALL_FLEET = 16
-"""Daemons up to which a newcomer may write the next epoch itself."""
+"""Fleet size up to which a new daemon may write the next epoch itself."""
 
 
 class Epochs:
-    """Reads, proposes and passes on epochs; one daemon at a time looks after them."""
+    """Reads, proposes and forwards epochs; normally one daemon at a time proposes them."""
 
     def __init__(
         self,
@@ -48,40 +48,40 @@
         self._wake = asyncio.Event()
         self._missing_since: dict[str, float] = {}
         self._unlisted_since: dict[str, float] = {}
-        self._looked_at = float('-inf')
-        self._kept: set[str] = set()
-        link.handle(messages.EpochWanted, self._send)
-        link.handle(messages.Epoch, self._take)
+        self._read_at = float('-inf')
+        self._retained: set[str] = set()
+        link.handle(messages.EpochWanted, self._handle_request)
+        link.handle(messages.Epoch, self._handle_epoch)
 
     async def run(self) -> None:
-        """Look after the epoch until cancelled."""
+        """Maintain the epoch until cancelled."""
         await self._storage.repeat(PROPOSE_INTERVAL, self._propose, self._wake)
 
     def note_registered(self) -> None:
-        """Have the epoch looked at now if this daemon has just come."""
-        if self._is_newcomer():
+        """Check the epoch immediately if this daemon is new."""
+        if self._must_join():
             self._wake.set()
 
     async def catch_up(self) -> None:
-        """Take up the store's epoch."""
+        """Install the epoch from the store."""
         epoch, _ = await self._storage.read_epoch()
         if epoch is not None:
             self.install(epoch)
 
     def install(self, epoch: storage.EpochRecord) -> None:
-        """Take up an epoch if it is newer, and pass it on."""
+        """Install an epoch if it is newer, and forward it to peers."""
         if not self._limits.install_epoch(epoch):
             return
         self._announce()
         for member in self._membership.list_known()[:SMALL_FLEET]:
             self._peers.send(member.peer, make_message(epoch))
 
-    def _send(self, sender: str, address: str, message: messages.EpochWanted) -> None:
+    def _handle_request(self, sender: str, address: str, message: messages.EpochWanted) -> None:
         epoch = self._limits.epoch
         if epoch is not None:
             self._peers.send(address, make_message(epoch))
 
-    def _take(self, sender: str, address: str, message: messages.Epoch) -> None:
+    def _handle_epoch(self, sender: str, address: str, message: messages.Epoch) -> None:
         self.install(storage.EpochRecord(message.number, message.holders, message.took_over))
 
     async def _propose(self) -> None:
@@ -91,15 +91,15 @@
             return
         asked_at = clocks.now()
         listed = await self._storage.read_members()
-        self._note_listed(listed, asked_at)
+        self._record_listed(listed, asked_at)
         self._add_members(listed)
         epoch, at = await self._storage.read_epoch()
         if epoch is not None:
             self.install(epoch)
         await self._write(epoch, at, self._choose_holders(listed, epoch))
-        if self._is_newcomer():
-            # Another newcomer was quicker, or this one was not listed yet.
-            asyncio.get_running_loop().call_later(RETRY_SECONDS, self._wake.set)
+        if self._must_join():
+            # Another daemon wrote first, or this one is not listed yet.
+            asyncio.get_running_loop().call_later(JOIN_RETRY_SECONDS, self._wake.set)
 
     async def _write(
         self, epoch: storage.EpochRecord | None, at: int, wanted: dict[str, storage.Seat]
@@ -107,47 +107,47 @@
         if epoch is None or wanted != epoch.holders:
             number = epoch.number + 1 if epoch else 1
             left_out = set(epoch.holders) - set(wanted) if epoch else set()
-            vanished = {i for i in left_out if not self._limits.has_departed(i)}
+            missing = {i for i in left_out if not self._limits.has_departed(i)}
             before = epoch.took_over if epoch else 0
-            record = storage.EpochRecord(number, wanted, number if vanished else before)
+            record = storage.EpochRecord(number, wanted, number if missing else before)
             if await self._storage.write_epoch(record, at):
                 log.info('epoch proposed', extra={'epoch': record.number, 'holders': len(wanted)})
                 self.install(record)
 
-    def _is_newcomer(self) -> bool:
-        """Return whether this daemon belongs to a small fleet's next epoch and has no units yet.
+    def _must_join(self) -> bool:
+        """Return whether this daemon should join the epoch of a small fleet by writing it itself.
 
-        In a large fleet newcomers borrow and wait for the proposer, so that a herd of them does
-        not contend for the epoch.
+        In a large fleet new daemons borrow units and wait for the proposer, so that many starts at
+        once do not contend for the epoch.
         """
         epoch = self._limits.epoch
         listed = epoch is not None and self._membership.own.incarnation in epoch.holders
         return not listed and not self.leaving and len(self._membership) <= SMALL_FLEET
 
     def _is_proposer(self) -> bool:
-        """Return whether this daemon looks after the epoch.
+        """Return whether this daemon maintains the epoch.
 
-        The oldest does, and beside it the oldest of those who know the last settled generation: one
-        that was cut off for long does not, and may leave nobody out.
+        This is the oldest daemon, and also the oldest of those that know the last settled
+        generation: a daemon that was isolated for long does not, and may leave nobody out.
         """
         own = self._membership.own.incarnation
         serving = {m.incarnation for m in self._membership.list_serving(clocks.now())}
-        knowing = serving & self._limits.book.lasting_holders
-        return self._is_newcomer() or own in (min(serving, default=own), min(knowing, default=''))
+        informed = serving & self._limits.book.lasting_holders
+        return self._must_join() or own in (min(serving, default=own), min(informed, default=''))
 
     def _choose_holders(
         self, listed: list[members.Member], epoch: storage.EpochRecord | None
     ) -> dict[str, storage.Seat]:
-        """Return the listed daemons and those holders of before that may still be running."""
+        """Return the listed daemons and the current holders that may still be running."""
         before = epoch.holders if epoch else {}
         for incarnation in self._find_replaced(listed, epoch):
             self._limits.note_departed(incarnation)
         unlisted = set(before) - {m.incarnation for m in listed}
-        vanished = self._find_vanished(unlisted)
+        missing = self._find_missing(unlisted)
         holders = {}
-        for incarnation, seat in before.items():
-            if not self._limits.has_departed(incarnation) and incarnation not in vanished:
-                holders[incarnation] = seat
+        for incarnation, holder in before.items():
+            if not self._limits.has_departed(incarnation) and incarnation not in missing:
+                holders[incarnation] = holder
         for member in listed:
             beat = self._membership.get_beat(member.incarnation)
             alive = beat is not None and (beat.counter > 0 or member == self._membership.own)
@@ -155,51 +155,52 @@
                 holders[member.incarnation] = (member.name, member.failure_domain, member.peer)
         return holders
 
-    def _find_vanished(self, unlisted: set[str]) -> set[str]:
-        """Return the holders whose units may be given out again without word that they stopped."""
+    def _find_missing(self, unlisted: set[str]) -> set[str]:
+        """Return the holders whose units may be reassigned without a notice that they stopped."""
         now = clocks.now()
         known = {i for i in unlisted if not self._limits.has_departed(i)}
-        gone = {i for i in known if self._is_certainly_gone(i, now)}
+        expired = {i for i in known if self._is_fenced(i, now)}
         self._limits.note_peers()
-        kept = {i for i in gone if not self._limits.may_drop(i)}
-        if kept - self._kept:
+        retained = {i for i in expired if not self._limits.may_drop(i)}
+        if retained - self._retained:
             contact = self._limits.book.describe_contact(now)
-            log.warning('vanished holders kept', extra={'kept': sorted(kept), **contact})
-        self._kept = kept
-        return gone - kept
+            log.warning('vanished holders kept', extra={'kept': sorted(retained), **contact})
+        self._retained = retained
+        return expired - retained
 
-    def _note_listed(self, listed: list[members.Member], asked_at: float) -> None:
-        if clocks.now() - self._looked_at > LONGEST_GAP:
+    def _record_listed(self, listed: list[members.Member], asked_at: float) -> None:
+        if clocks.now() - self._read_at > MAX_READ_GAP:
             self._unlisted_since.clear()
-        self._looked_at = asked_at
+        self._read_at = asked_at
         for member in listed:
             self._unlisted_since.pop(member.incarnation, None)
 
     def _find_replaced(
         self, listed: list[members.Member], epoch: storage.EpochRecord | None
     ) -> set[str]:
-        # Two processes cannot hold one address, so an older incarnation there has ended.
+        # Two processes can't share an address, so an older incarnation there has ended.
         newest: dict[str, str] = {}
         for member in listed:
             newest[member.peer] = max(newest.get(member.peer, ''), member.incarnation)
         holders = epoch.holders if epoch else {}
-        return {i for i, seat in holders.items() if newest.get(seat[2], '') > i}
+        return {i for i, holder in holders.items() if newest.get(holder[2], '') > i}
 
-    def _is_certainly_gone(self, incarnation: str, now: float) -> bool:
-        """Return whether a holder without a lease has been silent for so long that it is fenced.
+    def _is_fenced(self, incarnation: str, now: float) -> bool:
+        """Return whether a holder without a lease has been silent for long enough to be fenced.
 
-        It may spend for a while after its last lease, as well as after it was last heard.
+        Holders may use their units for a while after their last lease, and after they were last
+        heard, so both times count.
         """
         unlisted_since = self._unlisted_since.setdefault(incarnation, now)
         silent_since = self._membership.get_advanced_at(incarnation)
         if silent_since is None:
             silent_since = self._missing_since.setdefault(incarnation, now)
         else:
-            # Heard again: were it unknown once more, its silence would count from then.
+            # It was heard. If it becomes unknown again, its silence counts from that time.
             self._missing_since.pop(incarnation, None)
         return now - max(silent_since, unlisted_since) > shares.GONE_SECONDS
 
 
 def make_message(epoch: storage.EpochRecord) -> messages.Epoch:
-    """Return the message that tells peers of an epoch."""
+    """Return the message that sends an epoch to peers."""
     return messages.Epoch(epoch.number, epoch.holders, epoch.took_over)
--- a/passpier/daemon/limits.py
+++ b/passpier/daemon/limits.py
@@ -1,4 +1,4 @@
-"""Keeps the limits of client accounts: own units first, else one borrowed from a holder."""
+"""Enforces the limits of client accounts: uses own units first, then borrows from peers."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 log = logging.getLogger(__name__)
 
 BORROW_TIMEOUT = 0.25
-"""Seconds to wait for a holder's answer."""
+"""Seconds to wait for the answer of a peer that may lend a unit."""
 
-FIRST_SHARE_SECONDS = 3.0
-"""Seconds for which a daemon that has just started waits for its first share."""
+FIRST_SHARE_TIMEOUT = 3.0
+"""Seconds for which requests wait for the first share of a daemon that has just started."""
 
 
 class Unit(msgspec.Struct):
-    """A unit in use; `lender` is the peer address it was borrowed from, or empty."""
+    """A unit in use; `lender` is the peer address that it was borrowed from, or empty."""
 
     account: str
     loan: str = ''
@@ -33,7 +33,7 @@
 
 
 class Limits:
-    """What this daemon holds of every account's limit."""
+    """Shares of the accounts' limits held by this daemon, with loans from and to peers."""
 
     def __init__(self, membership: members.Membership, link: peers.Peers, entry_count: int) -> None:
         self._membership = membership
@@ -44,28 +44,28 @@
         self._lenders: set[str] = set()
         self.book = shares.ShareBook(membership.own.incarnation)
         self._settled = asyncio.Event()
-        self._cut_off = False
+        self._isolated = False
         self._confirm_from: dict[int, float] = {}
         self.epoch: storage.EpochRecord | None = None
         self._config: directory.Directory | None = None
-        link.handle(messages.Borrow, self._lend)
-        link.handle(messages.Lent, self._take_answer)
-        link.handle(messages.Repay, self._take_back)
-        link.handle(messages.Loans, self._reconcile)
+        link.handle(messages.Borrow, self._handle_borrow)
+        link.handle(messages.Lent, self._handle_lent)
+        link.handle(messages.Repay, self._handle_repay)
+        link.handle(messages.Loans, self._handle_loans)
 
     async def acquire(self, account: str) -> expression.Result[Unit, exceptions.Failure]:
-        """Return a unit, or the refusal; a daemon that has just started waits for its first."""
-        # Looked at before the try: the first share may come while a peer is being asked.
-        started = not self._settled.is_set()
+        """Return a unit, or the failure; after a start, waits for the first share."""
+        # Checked before the attempt, as the first share may arrive while a peer is asked.
+        is_starting = not self._settled.is_set()
         result = await self._try_acquire(account)
-        if result.is_ok() or not started:
+        if result.is_ok() or not is_starting:
             return result
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._settled.wait(), FIRST_SHARE_SECONDS)
+            await asyncio.wait_for(self._settled.wait(), FIRST_SHARE_TIMEOUT)
         return await self._try_acquire(account)
 
     def release(self, unit: Unit, tokens: int) -> None:
-        """Give a unit back with the tokens that were used."""
+        """Return a unit to its owner and charge the tokens that were used."""
         if unit.lender:
             self._borrowed.pop(unit.loan, None)
             self._peers.send(unit.lender, messages.Repay(unit.loan, tokens))
@@ -74,16 +74,16 @@
         self.book.release(unit.account)
 
     def install_epoch(self, epoch: storage.EpochRecord) -> bool:
-        """Take up an epoch if it is newer; return whether it was."""
+        """Install an epoch if it is newer; return whether it was."""
         if self.epoch is not None and epoch.number <= self.epoch.number:
             return False
         if self.epoch is not None and epoch.took_over > self.epoch.number:
             self._confirm_from[epoch.number] = clocks.now() + shares.CONFIRM_SECONDS
         self.epoch = epoch
         own = self._membership.own
-        for incarnation, seat in epoch.holders.items():
-            if seat[2] == own.peer and incarnation != own.incarnation:
-                # This process has the address, so the one that had it before has ended.
+        for incarnation, holder in epoch.holders.items():
+            if holder[2] == own.peer and incarnation != own.incarnation:
+                # This process uses the address, so the process that used it before has ended.
                 self.book.departed.add(incarnation)
         self._install_grant()
         return True
@@ -95,7 +95,7 @@
         return self.book.get_confirmable(min(self._confirm_from, default=float('inf')))
 
     def install(self, config: directory.Directory) -> None:
-        """Take up a newer configuration."""
+        """Install a newer configuration."""
         self._config = config
         self._install_grant()
 
@@ -103,14 +103,16 @@
         if self.epoch is None or self._config is None:
             return
         self.book.note_contact(clocks.now())
-        holders = {i: shares.Holder(seat[0], seat[1]) for i, seat in self.epoch.holders.items()}
+        holders = {
+            i: shares.Holder(holder[0], holder[1]) for i, holder in self.epoch.holders.items()
+        }
         generation = shares.Generation(self.epoch.number, self._config.revision)
         self.book.install(
             shares.Grant(generation, holders, self._config.accounts, self._entry_count)
         )
 
     def tick(self) -> None:
-        """Settle what can be; tell lenders which loans are still in use."""
+        """Settle the newest generation if possible; tell lenders which loans are still in use."""
         self.note_peers()
         self.settle()
         for lender in list(self._lenders):
@@ -120,7 +122,7 @@
                 self._lenders.discard(lender)
 
     def settle(self) -> None:
-        """Settle a generation that every holder has confirmed."""
+        """Settle the newest generation once every holder has confirmed it."""
         if not self.book.settle(self._get_confirmed):
             return
         self._settled.set()
@@ -131,26 +133,26 @@
         )
 
     def note_peers(self) -> None:
-        """Take over when the holders were last heard; log when this daemon's contact is lost."""
+        """Record when each holder was last heard; log when this daemon becomes isolated or not."""
         now = clocks.now()
         self.book.note_contact(now)
         for incarnation in self.book.list_involved():
             beat = self._membership.get_beat(incarnation)
             at = self._membership.get_advanced_at(incarnation)
-            # One that follows an epoch unknown here says nothing of this daemon's units.
+            # A holder in an epoch that is unknown here may no longer count this daemon as one.
             if beat is None or at is None or self.epoch is None:
                 continue
             if beat.counter and max(beat.epoch, beat.known) <= self.epoch.number:
                 self.book.add_peer(incarnation, at)
         self.book.note_contact(now)
-        cut_off = self.book.is_cut_off(now)
-        if cut_off != self._cut_off:
-            self._cut_off = cut_off
-            event = 'shares unusable' if cut_off else 'shares usable'
+        isolated = self.book.is_cut_off(now)
+        if isolated != self._isolated:
+            self._isolated = isolated
+            event = 'shares unusable' if isolated else 'shares usable'
             log.warning(event, extra=self.book.describe_contact(now))
 
     def may_drop(self, incarnation: str) -> bool:
-        """Return whether a holder that vanished may be left out of the next epoch."""
+        """Return whether a holder that disappeared may be left out of the next epoch."""
         beat = self._membership.get_beat(incarnation)
         confirmed = shares.NO_GRANT.generation
         if beat is not None:
@@ -158,7 +160,7 @@
         return self.book.may_drop(confirmed, clocks.now())
 
     def note_departed(self, incarnation: str) -> None:
-        """Note that a daemon has certainly stopped."""
+        """Record that a daemon has certainly stopped."""
         self.book.departed.add(incarnation)
         self.book.drop_borrower(incarnation, clocks.now())
 
@@ -174,10 +176,10 @@
             member = self._membership.get(incarnation)
             if member is None or member not in self._membership.list_alive(clocks.now()):
                 continue
-            unit, after = await self._borrow(account, member.peer)
+            unit, delay = await self._borrow(account, member.peer)
             if unit is not None:
                 return expression.Ok(unit)
-            retry_after = max(retry_after, after)
+            retry_after = max(retry_after, delay)
         failure = exceptions.Failure(
             exceptions.Code.LIMIT,
             exceptions.Outcome.NOT_RUN,
@@ -196,33 +198,33 @@
             answer = await self._replies.wait(loan, BORROW_TIMEOUT)
             granted = isinstance(answer, messages.Lent) and answer.granted
         finally:
-            # Also when the caller has gone while the answer was on its way.
+            # Also runs if the request is cancelled while the answer is pending.
             if not granted:
                 del self._borrowed[loan]
         if granted:
             return Unit(account, loan, address), 0.0
         return None, answer.retry_after if isinstance(answer, messages.Lent) else 0.0
 
-    def _lend(self, sender: str, address: str, message: messages.Borrow) -> None:
+    def _handle_borrow(self, sender: str, address: str, message: messages.Borrow) -> None:
         granted = self.book.lend(message.loan, message.account, sender, clocks.now())
         retry_after = self.book.compute_retry_after(message.account)
         self._peers.send(address, messages.Lent(message.loan, granted, retry_after))
 
-    def _take_answer(self, sender: str, address: str, message: messages.Lent) -> None:
+    def _handle_lent(self, sender: str, address: str, message: messages.Lent) -> None:
         if not self._replies.resolve(message.loan, message) and message.granted:
             self._peers.send(address, messages.Repay(message.loan, 0))
 
-    def _take_back(self, sender: str, address: str, message: messages.Repay) -> None:
+    def _handle_repay(self, sender: str, address: str, message: messages.Repay) -> None:
         self.book.repay(message.loan, message.tokens, clocks.now())
 
-    def _reconcile(self, sender: str, address: str, message: messages.Loans) -> None:
+    def _handle_loans(self, sender: str, address: str, message: messages.Loans) -> None:
         self.book.reconcile(sender, set(message.loans), clocks.now())
 
     def _get_confirmed(self, incarnation: str) -> shares.Generation | None:
         if incarnation == self._membership.own.incarnation:
             return self.get_confirmable()
         if incarnation in self.book.departed or incarnation not in self.book.holders:
-            # Whoever wrote the epoch left a holder out only when it had certainly stopped.
+            # The writer of an epoch leaves out only holders that have certainly stopped.
             return None
         beat = self._membership.get_beat(incarnation)
         if beat is None:
--- a/passpier/daemon/loads.py
+++ b/passpier/daemon/loads.py
@@ -1,7 +1,8 @@
-"""Tells peers of this daemon's own load at each replica, and takes theirs.
+"""Exchanges with peers how much load each daemon has at each replica.
 
-Load reports come late. While few daemons carry requests, each of these knows from the others what
-they have sent where; with many this would not fit the control budget, and reports must do.
+The load reports of replicas arrive late. While few daemons handle requests, they tell each other
+what they have sent where. With many daemons this would exceed the budget for control traffic, so
+that only the reports are used.
 """
 
 from __future__ import annotations
@@ -15,63 +16,63 @@
 from passpier.daemon import messages, peers
 
 INTERVAL = 0.05
-"""Seconds between two messages to a peer, at the least."""
+"""Minimum time, in seconds, between two messages to a peer."""
 
-USUAL_PEERS = 8
-"""Daemons up to which the interval holds; it grows with more, so that the bytes do not."""
+INTERVAL_PEERS = 8
+"""Number of peers beyond which the interval grows with their number, to limit the traffic."""
 
 STANDBY_INTERVAL = 0.5
-"""Seconds between looks at loads of a daemon that takes no requests."""
+"""Seconds between checks for load in a daemon that is on standby."""
 
-WHOLE_INTERVAL = 1.0
-"""Seconds between two messages that tell of all replicas: others are told of changes only. A lost
-message is made good by the next whole one, before what it told would have lapsed."""
+FULL_INTERVAL = 1.0
+"""Seconds between two full messages; those in between have changes only. A full message repairs the
+loss of an earlier one before the load that was reported last expires at the peer."""
 
-CHANGED_TOKENS = 1000
-"""Tokens by which the work left at a replica has to change to be told: 20 to 50 ms of reading."""
+MIN_TOKEN_CHANGE = 1000
+"""Change of the tokens left to compute at a replica that is sent, 20 to 50 ms of prefill."""
 
-CHANGED_SLOTS = 0.125
-"""Part of a replica's slots by which the requests running there have to change to be told."""
+MIN_SLOT_CHANGE = 0.125
+"""Change of the running requests that is sent, as a fraction of the replica's slots."""
 
 MAX_PEERS = 64
-"""Daemons that take requests beyond which loads are not told: messages grow with their square."""
+"""Number of peers beyond which no loads are sent, as the traffic grows with its square."""
 
 
 Load = tuple[tuple[int, ...], int]
-"""Tokens left to compute, by priority, and requests running."""
+"""Tokens left to compute, by priority, and the number of running requests."""
 
 NO_LOAD: Load = ((), 0)
 
 
-class Known(Protocol):
-    """The upstreams whose loads are told."""
+class Upstreams(Protocol):
+    """The upstreams whose load is exchanged."""
 
     replicas: dict[str, replicas.Replica]
 
 
 class Loads:
-    """Exchange of loads with peers."""
+    """Sends this daemon's load at each replica to peers and records theirs."""
 
     def __init__(
         self,
         membership: members.Membership,
-        known: Known,
+        known_upstreams: Upstreams,
         link: peers.Peers,
         interval: float = INTERVAL,
     ) -> None:
         self._interval = interval
         self._membership = membership
-        self._upstreams = known
+        self._upstreams = known_upstreams
         self._peers = link
         self._sent: dict[lives.Life, Load] = {}
-        self._whole_at = float('-inf')
+        self._full_sent_at = float('-inf')
         link.handle(messages.Loads, self._take)
 
     async def run(self) -> None:
-        """Tell peers whenever the loads have changed."""
+        """Send changes of the load to peers until cancelled."""
         others: list[members.Member] = []
         while True:
-            await asyncio.sleep(self._choose_pause(len(others)))
+            await asyncio.sleep(self._choose_interval(len(others)))
             others = self._membership.list_interested(clocks.now())
             complete = len(others) < MAX_PEERS
             for replica in self._upstreams.replicas.values():
@@ -81,33 +82,33 @@
                 self._peers.send_all([m.peer for m in others], message)
 
     def _choose_message(self, now: float) -> messages.Loads | None:
-        """Return what peers have to be told, or none."""
+        """Return the next message for peers, or none if nothing has to be sent."""
         loads = self._collect(now)
-        if now - self._whole_at >= WHOLE_INTERVAL and (loads or self._sent):
-            self._whole_at = now
+        if now - self._full_sent_at >= FULL_INTERVAL and (loads or self._sent):
+            self._full_sent_at = now
             self._sent = loads
             return _build_message(loads, True)
-        ended = {life: NO_LOAD for life in self._sent if life not in loads}
+        ended = {process: NO_LOAD for process in self._sent if process not in loads}
         changed = {x: load for x, load in loads.items() if self._is_changed(x, load)} | ended
         if not changed:
             return None
         self._sent.update(changed)
-        for life in ended:
-            del self._sent[life]
+        for process in ended:
+            del self._sent[process]
         return _build_message(changed, False)
 
-    def _is_changed(self, life: lives.Life, load: Load) -> bool:
+    def _is_changed(self, process: lives.Life, load: Load) -> bool:
         tokens, running = load
-        told_tokens, told_running = self._sent.get(life, NO_LOAD)
-        if life not in self._sent or abs(sum(tokens) - sum(told_tokens)) >= CHANGED_TOKENS:
+        sent_tokens, sent_running = self._sent.get(process, NO_LOAD)
+        if process not in self._sent or abs(sum(tokens) - sum(sent_tokens)) >= MIN_TOKEN_CHANGE:
             return True
-        slots = self._upstreams.replicas[life.id].slots
-        return abs(running - told_running) >= max(1, slots * CHANGED_SLOTS)
+        slots = self._upstreams.replicas[process.id].slots
+        return abs(running - sent_running) >= max(1, slots * MIN_SLOT_CHANGE)
 
-    def _choose_pause(self, peers: int) -> float:
+    def _choose_interval(self, peers: int) -> float:
         if not self._sent and self._membership.is_standing_by(clocks.now()):
             return max(self._interval, STANDBY_INTERVAL)
-        return self._interval * max(1.0, peers / USUAL_PEERS)
+        return self._interval * max(1.0, peers / INTERVAL_PEERS)
 
     def _collect(self, now: float) -> dict[lives.Life, Load]:
         return {
@@ -119,23 +120,23 @@
     def _take(self, sender: str, address: str, message: messages.Loads) -> None:
         now = clocks.now()
         known = self._upstreams.replicas
-        named = set()
+        listed = set()
         for name, mark, tokens, running in message.loads:
             replica = known.get(name)
             if replica is None or replica.life.mark != mark:
-                # What was sent to the process before has ended with it.
+                # The load belongs to an earlier process, which has ended.
                 continue
-            named.add(name)
+            listed.add(name)
             if running:
                 replica.peers[sender] = replicas.PeerLoad(tokens, running, now)
             else:
                 replica.peers.pop(sender, None)
         if message.whole:
             for name, replica in known.items():
-                if sender in replica.peers and name not in named:
+                if sender in replica.peers and name not in listed:
                     del replica.peers[sender]
 
 
 def _build_message(loads: Mapping[lives.Life, Load], whole: bool) -> messages.Loads:
-    rows = [(life.id, life.mark, *load) for life, load in loads.items()]
+    rows = [(process.id, process.mark, *load) for process, load in loads.items()]
     return messages.Loads(rows, whole)
--- a/passpier/daemon/suspects.py
+++ b/passpier/daemon/suspects.py
@@ -1,8 +1,8 @@
-"""Keeps requests that end the replicas which run them from ending more: see `core.crashes`.
+"""Shares with peers which requests crash replicas, to limit their retries; see `core.crashes`.
 
-A run that breaks off is noted, and the replica asked whether it still lives. If it does not, all
-live peers are told at once which requests were running there; reminders to a few peers at a time
-repeat what matters, for those that could not be reached or have started since.
+When a request loses its connection, the replica is asked whether its process has ended. If so, all
+live peers are notified of the requests that were running there. Reports are also repeated to a few
+peers at a time, for those that were unreachable or have started since.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 log = logging.getLogger(__name__)
 
-REMIND_INTERVAL = 0.5
-"""Seconds between reminders to a few peers: an end that a peer was not told of, as behind a cut, is
-known there a second or two after it can be reached."""
+GOSSIP_INTERVAL = 0.5
+"""Seconds between repeated reports to a few peers. A peer that missed a report, as in a network
+partition, gets it a second or two after it is reachable again."""
 
 
 class Suspects:
-    """One process's part in knowing which requests end replicas."""
+    """Record of the requests suspected of crashing replicas, shared with the peers."""
 
     def __init__(
         self,
@@ -37,46 +37,46 @@
         self._peers = link
         self._has_ended = has_ended
         self._choose_targets = choose_targets
-        self.on_end: Callable[[lives.Life, list[int]], None] = lambda life, under: None
-        """Called with each end that was seen here, and the requests under it."""
+        self.on_end: Callable[[lives.Life, list[int]], None] = lambda process, suspected: None
+        """Called with each crash that this process detects, and the requests suspected of it."""
 
         self.claim_trial: Callable[[int], Awaitable[bool]] = self._claim_by_rank
-        """Asked before a request that is held back is run once more."""
+        """Asked before a refused request is tried once more; true if this process may try it."""
 
-        self._looking: set[asyncio.Task[None]] = set()
-        link.handle(messages.Ended, self._take_ended)
-        link.handle(messages.Trying, self._take_trying)
+        self._checks: set[asyncio.Task[None]] = set()
+        link.handle(messages.Ended, self._handle_ended)
+        link.handle(messages.Trying, self._handle_trying)
 
     def judge(self, fingerprint: int) -> crashes.Judgement:
-        """Return whether a request may be sent now, and how."""
+        """Return whether a request may be sent now, and with which precautions."""
         return self.crashes.judge(fingerprint, clocks.now())
 
     async def judge_finally(self, fingerprint: int) -> crashes.Judgement:
-        """Return the same right before a request is sent, when a trial must be claimed."""
+        """Return the same right before sending; claims the trial if the request needs one."""
         judgement = self.judge(fingerprint)
         if not judgement.is_trial or await self.claim_trial(fingerprint):
             return judgement
         return crashes.Judgement(judgement.ends, crashes.TRIAL_AFTER, 'its trial is over')
 
     def begin(self, fingerprint: int, judgement: crashes.Judgement, seconds: float) -> None:
-        """Note that a request is about to be sent, with `seconds` left to it."""
+        """Register a request that is about to be sent with a timeout of `seconds`."""
         self.crashes.begin(fingerprint, clocks.now())
         if judgement.is_told:
-            self._tell(messages.Trying(fingerprint, min(seconds, crashes.RUN_MAX)))
+            self._broadcast(messages.Trying(fingerprint, min(seconds, crashes.RUN_MAX)))
 
     def end(self, fingerprint: int) -> None:
-        """Note that a send is over, one way or the other."""
+        """Note that a run has finished, whether it succeeded or not."""
         self.crashes.end(fingerprint)
 
-    def note_broken(self, fingerprint: int, life: lives.Life) -> None:
-        """Note that a run broke off as if the replica's process had ended."""
-        if self.crashes.suspect(fingerprint, life, clocks.now()):
-            task = asyncio.ensure_future(self._look(life))
-            self._looking.add(task)
-            task.add_done_callback(self._looking.discard)
+    def note_broken(self, fingerprint: int, process: lives.Life) -> None:
+        """Note that a run lost its connection, which may mean that the replica's process ended."""
+        if self.crashes.suspect(fingerprint, process, clocks.now()):
+            task = asyncio.ensure_future(self._check_process(process))
+            self._checks.add(task)
+            task.add_done_callback(self._checks.discard)
 
     def note_well(self, fingerprint: int) -> None:
-        """Note that a run ended well: the request caused none of the ends it was under."""
+        """Note that a run succeeded, which clears its request of all crashes recorded so far."""
         if not self.crashes.count_ends(fingerprint):
             return
         now = clocks.now()
@@ -85,7 +85,7 @@
         log.info('request cleared', extra=fields)
         if ends >= crashes.TOLD_LIVES:
             _, cleared = self.crashes.export(now)
-            self._tell(messages.Ended([], cleared))
+            self._broadcast(messages.Ended([], cleared))
 
     def take_ends(
         self,
@@ -93,14 +93,14 @@
         source: str,
         cleared: Sequence[crashes.Clearing] = (),
     ) -> None:
-        """Take over what others know."""
-        news = self.crashes.merge(ends, cleared, clocks.now())
-        self._log_suspects(news, source)
+        """Merge reports of crashes from another source."""
+        changed = self.crashes.merge(ends, cleared, clocks.now())
+        self._log_suspects(changed, source)
 
     async def run(self) -> None:
-        """Remind others until cancelled."""
+        """Repeat reports to a few peers until cancelled."""
         while True:
-            await asyncio.sleep(REMIND_INTERVAL)
+            await asyncio.sleep(GOSSIP_INTERVAL)
             now = clocks.now()
             self.crashes.expire(now)
             ends, cleared = self.crashes.export(now)
@@ -108,38 +108,40 @@
                 addresses = [m.peer for m in self._choose_targets()]
                 self._peers.send_all(addresses, messages.Ended(ends, cleared))
 
-    async def _look(self, life: lives.Life) -> None:
-        if not await self._has_ended(life):
-            under = self.crashes.withdraw(life)
-            log.info('upstream lives', extra=_describe(life) | {'requests': len(under)})
+    async def _check_process(self, process: lives.Life) -> None:
+        if not await self._has_ended(process):
+            suspected = self.crashes.withdraw(process)
+            log.info(
+                'upstream still running', extra=_describe(process) | {'requests': len(suspected)}
+            )
             return
-        under = self.crashes.confirm(life)
-        log.warning('upstream ended', extra=_describe(life) | {'requests': len(under)})
-        self._log_suspects(under, 'seen here')
+        suspected = self.crashes.confirm(process)
+        log.warning('upstream ended', extra=_describe(process) | {'requests': len(suspected)})
+        self._log_suspects(suspected, 'seen here')
         now = clocks.now()
-        self.on_end(life, under)
-        ends = [e for e in self.crashes.export_ends(under, now) if e.life == life]
-        self._tell(messages.Ended(ends, []))
+        self.on_end(process, suspected)
+        ends = [e for e in self.crashes.export_ends(suspected, now) if e.life == process]
+        self._broadcast(messages.Ended(ends, []))
 
     async def _claim_by_rank(self, fingerprint: int) -> bool:
-        """Leave trials to one daemon, as far as all see the same ones."""
+        """Choose one daemon for a trial, which is unique as far as all see the same members."""
         serving = self._membership.list_serving(clocks.now())
         names = [m.name for m in serving]
         return rendezvous.rank_names(str(fingerprint), names)[:1] == [self._membership.own.name]
 
-    def _take_ended(self, sender: str, address: str, message: messages.Ended) -> None:
+    def _handle_ended(self, sender: str, address: str, message: messages.Ended) -> None:
         self.take_ends(message.ends, sender, message.cleared)
 
-    def _take_trying(self, sender: str, address: str, message: messages.Trying) -> None:
+    def _handle_trying(self, sender: str, address: str, message: messages.Trying) -> None:
         self.crashes.note_elsewhere(message.fingerprint, clocks.now() + message.seconds)
 
-    def _tell(self, message: messages.AnyMessage) -> None:
+    def _broadcast(self, message: messages.AnyMessage) -> None:
         alive = self._membership.list_alive(clocks.now())
         own = self._membership.own
         self._peers.send_all([m.peer for m in alive if m is not own], message)
 
     def _log_suspects(self, suspects: crashes.Suspects, source: str) -> None:
-        """Log the requests that more than one process has ended under."""
+        """Log the requests that were running in more than one crash."""
         for fingerprint in suspects:
             ends = self.crashes.count_ends(fingerprint)
             if ends < crashes.TOLD_LIVES:
@@ -155,5 +157,5 @@
             )
 
 
-def _describe(life: lives.Life) -> dict[str, object]:
-    return {'upstream': life.id, 'born': life.born}
+def _describe(process: lives.Life) -> dict[str, object]:
+    return {'upstream': process.id, 'born': process.born}
--- a/passpier/daemon/upstreams.py
+++ b/passpier/daemon/upstreams.py
@@ -1,4 +1,4 @@
-"""Knows the upstreams: applies the configuration, polls load reports and the VM list."""
+"""Tracks the upstreams: applies the configuration, polls load reports and the VM list."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 """Seconds between rounds of polls."""
 
 POLLS_PER_ROUND = 10
-"""Load reports asked for in one round, whatever the size of the fleet; answers carry the rest."""
+"""Load reports requested per round, whatever the size of the fleet; answers carry load as well."""
 
-QUESTIONS = 2
-"""Unanswered questions after which a process counts as ended; a packet may be lost."""
+END_CHECK_ATTEMPTS = 2
+"""Unanswered requests after which a process counts as ended; one packet may get lost."""
 
-REPORT_FRESH = 0.5
-"""Seconds for which a report need not be asked for again."""
+REPORT_MAX_AGE = 0.5
+"""Seconds after which a load report is requested again."""
 
 LEAVING_STATES = frozenset({'leaving', 'gone'})
 
 
 class VmList(msgspec.Struct):
-    """The platform's list: VM to state."""
+    """The platform's list of VMs with their states."""
 
     vms: dict[str, str]
 
 
 class Upstreams:
-    """All replicas of the configuration in force, with what is known of each."""
+    """All replicas in the current configuration, with their observed state."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self._polled_at: dict[str, float] = {}
 
     def apply(self, config: directory.Directory) -> None:
-        """Take over the upstreams of a configuration; what is known of the kept ones stays."""
+        """Apply a configuration; upstreams that stay in it keep their observed state."""
         names = set()
         self.pools = {}
         for pool in config.fleet.pools:
@@ -70,13 +70,13 @@
             for upstream in pool.upstreams:
                 names.add(upstream.name)
                 self._models[upstream.name] = model.name if model else ''
-                known = self.replicas.get(upstream.name)
-                if known is None or known.address != upstream.address:
-                    known = self.replicas[upstream.name] = replicas.Replica(
+                replica = self.replicas.get(upstream.name)
+                if replica is None or replica.address != upstream.address:
+                    replica = self.replicas[upstream.name] = replicas.Replica(
                         upstream.name, upstream.address, upstream.vm, upstream.failure_domain
                     )
                     self.cache.forget(upstream.name)
-                self._set_leaving(known, 'configuration', upstream.leaving)
+                self._set_leaving(replica, 'configuration', upstream.leaving)
         for name in set(self.replicas) - names:
             del self.replicas[name]
             self.cache.forget(name)
@@ -86,11 +86,11 @@
         return bool(self._models.get(name))
 
     def get(self, name: str) -> replicas.Replica:
-        """Return a known upstream."""
+        """Return an upstream by name."""
         return self.replicas[name]
 
     def list_serving(self, pool: str, version: str = '') -> list[replicas.Replica]:
-        """Return the upstreams of a pool that take new work and serve the wanted weights."""
+        """Return the upstreams of a pool that accept new work and serve a weight version."""
         now = clocks.now()
         members = [self.replicas[n] for n in self.pools.get(pool, ()) if n in self.replicas]
         usable = {
@@ -101,14 +101,14 @@
         return [usable[name] for name in self.ejector.select(list(usable), now)]
 
     def describe_weights(self, name: str) -> Mapping[str, object]:
-        """Return what the line of a decision tells of an upstream's weights."""
+        """Return the log fields that describe an upstream's weights."""
         return {'weight_version': self.replicas[name].weight_version}
 
     def choose_version(self, pool: str, wanted: str) -> str:
-        """Return the weight version to ask a pool for.
+        """Return the weight version to request from a pool.
 
-        It is the wanted one as soon as a replica serves it; until then, while new weights are being
-        loaded, the one that most replicas serve, so that a change of weights stops no request.
+        It is the wanted one once a replica serves it. Until then it is the one that most replicas
+        serve, so that loading new weights does not interrupt the service.
         """
         versions = collections.Counter(
             r.weight_version for r in self.list_serving(pool) if r.weight_version
@@ -118,7 +118,7 @@
         return max(sorted(versions), key=lambda v: versions[v])
 
     def learn_identity(self, replica: replicas.Replica, identity: engines.Identity) -> None:
-        """Learn from an answer's headers."""
+        """Update a replica's identity and load from an answer's headers."""
         if not identity.incarnation:
             return
         self._note_incarnation(replica, identity.incarnation, identity.weight_version, 0)
@@ -131,13 +131,13 @@
         if self.ejector.note_failure(replica.name, clocks.now()):
             log.warning('upstream ejected', extra={'upstream': replica.name})
 
-    async def has_ended(self, life: lives.Life) -> bool:
-        """Return whether an engine's process whose answer broke off has ended, after asking it."""
-        name, _, incarnation = life.id.partition('/')
+    async def has_ended(self, process: lives.Life) -> bool:
+        """Return whether an engine process has ended, by requesting a report from the engine."""
+        name, _, incarnation = process.id.partition('/')
         replica = self.replicas.get(name)
         if replica is None:
             return True
-        for _ in range(QUESTIONS):
+        for _ in range(END_CHECK_ATTEMPTS):
             try:
                 report = await self._engines.report(replica.address)
             except web.ExchangeError as error:
@@ -150,7 +150,7 @@
         return True
 
     async def run_polls(self) -> None:
-        """Ask for load reports, oldest first, a bounded number a round."""
+        """Poll load reports, the least recently polled first, a limited number per round."""
         while True:
             now = clocks.now()
             due = [
@@ -166,13 +166,13 @@
             await asyncio.sleep(POLL_INTERVAL)
 
     def _needs_report(self, replica: replicas.Replica, now: float) -> bool:
-        # Answers carry the load, but only a report says how much the cache can hold.
+        # Answers carry the load as well, but only reports have the capacity of the cache.
         if replica.report is None or not self.cache.get_capacity(replica.name):
             return True
-        return now - replica.report.received_at > REPORT_FRESH
+        return now - replica.report.received_at > REPORT_MAX_AGE
 
     async def run_vm_list(self) -> None:
-        """Follow the platform's list of VMs."""
+        """Poll the platform's list of VMs."""
         while self._vm_list:
             try:
                 answer = await self._client.fetch('GET', f'http://{self._vm_list}/vms', timeout=1.0)
@@ -213,7 +213,7 @@
     ) -> None:
         replica.incarnation = incarnation
         replica.weight_version = version
-        # Blocks of other weights must not survive, so the version belongs to the incarnation.
+        # Cached blocks are valid for one weight version only, so it is a part of the cache key.
         if self.cache.set_incarnation(replica.name, f'{incarnation}/{version}', capacity):
             replica.report = None
             log.info(
--- a/passpier/tests/daemon/epochs_tests.py
+++ b/passpier/tests/daemon/epochs_tests.py
@@ -1,4 +1,4 @@
-"""Who still counts as a holder of units: silence counts from when a daemon was last heard."""
+"""Fencing of holders that are no longer heard."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     )
 
 
-def test_silence_counts_anew_after_a_daemon_was_heard() -> None:
-    """It was unknown at first, heard later, and dropped: it counted as gone from the first time."""
+def test_silence_counts_from_when_a_daemon_was_last_heard() -> None:
+    """A daemon is unknown, then heard, then removed; silence used to count from the first time."""
     membership = members.Membership(OWN, 0.5, 0.0)
-    looked_after = make_epochs(membership)
-    assert not looked_after._is_certainly_gone('i1', 0.0)
+    maintained = make_epochs(membership)
+    assert not maintained._is_fenced('i1', 0.0)
     membership.add(OTHER, 1.0)
     membership.merge([members.Beat('i1', 1)], 1.0)
-    assert not looked_after._is_certainly_gone('i1', 1.0)
+    assert not maintained._is_fenced('i1', 1.0)
     membership.remove('i1')
     later = shares.GONE_SECONDS + 5.0
-    assert not looked_after._is_certainly_gone('i1', later)
-    assert looked_after._is_certainly_gone('i1', later + shares.GONE_SECONDS + 1.0)
+    assert not maintained._is_fenced('i1', later)
+    assert maintained._is_fenced('i1', later + shares.GONE_SECONDS + 1.0)
--- a/passpier/tests/daemon/loads_tests.py
+++ b/passpier/tests/daemon/loads_tests.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of their loads: changes, and all of it once a second."""
+"""Exchange of loads between daemons: changes at once, and a full message every second."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 SLOTS = 16
 
 
-class Known:
+class Upstreams:
     """The upstreams of one daemon."""
 
     def __init__(self) -> None:
@@ -24,10 +24,10 @@
 
 
 class Daemon:
-    """One daemon's part."""
+    """One daemon, which records the messages that it sends."""
 
     def __init__(self, own: members.Member, fleet: list[members.Member], net: network.Network):
-        self.known = Known()
+        self.upstreams = Upstreams()
         membership = members.Membership(own, 1e6, 0.0)
         for member in fleet:
             membership.add(member, 0.0)
@@ -41,7 +41,7 @@
             send_all(addresses, message)
 
         self.link.send_all = note  # type: ignore[method-assign,assignment]
-        self.loads = loads.Loads(membership, self.known, self.link)  # type: ignore[arg-type]
+        self.loads = loads.Loads(membership, self.upstreams, self.link)  # type: ignore[arg-type]
 
 
 Check = Callable[[Daemon, Daemon, network.Network], Awaitable[None]]
@@ -53,9 +53,9 @@
         fleet = [
             members.Member(f'vm-{n}', f'i{n}', '10.0.0.1', n, 1000 + n, f'd{n}') for n in range(2)
         ]
-        here, there = (Daemon(m, fleet, net) for m in fleet)
-        tasks = [asyncio.ensure_future(d.loads.run()) for d in (here, there)]
-        await check(here, there, net)
+        sender, receiver = (Daemon(m, fleet, net) for m in fleet)
+        tasks = [asyncio.ensure_future(d.loads.run()) for d in (sender, receiver)]
+        await check(sender, receiver, net)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -70,61 +70,61 @@
 pytestmark = pytest.mark.usefixtures('virtual_clock')
 
 
-def test_a_load_is_told_at_once_and_then_once_a_second() -> None:
-    async def check(here: Daemon, there: Daemon, net: network.Network) -> None:
+def test_a_load_is_sent_at_once_and_then_every_second() -> None:
+    async def check(sender: Daemon, receiver: Daemon, net: network.Network) -> None:
         await asyncio.sleep(1.5)
-        replicas.begin_dispatch(here.known.replicas['r1'], 'a', 9000, now())
+        replicas.begin_dispatch(sender.upstreams.replicas['r1'], 'a', 9000, now())
         await asyncio.sleep(0.2)
-        assert there.known.replicas['r1'].peers['i0'].running == 1
-        replicas.note_first_token(here.known.replicas['r1'], 'a', now())
+        assert receiver.upstreams.replicas['r1'].peers['i0'].running == 1
+        replicas.note_first_token(sender.upstreams.replicas['r1'], 'a', now())
         await asyncio.sleep(0.2)
-        assert sum(there.known.replicas['r1'].peers['i0'].tokens) == 0
-        here.sent.clear()
-        # A long stream changes nothing any more.
+        assert sum(receiver.upstreams.replicas['r1'].peers['i0'].tokens) == 0
+        sender.sent.clear()
+        # A long stream causes no further changes.
         await asyncio.sleep(3.0)
-        assert len(here.sent) <= 3
-        assert all(m.whole for m in here.sent)
-        assert there.known.replicas['r1'].peers['i0'].running == 1
+        assert len(sender.sent) <= 3
+        assert all(m.whole for m in sender.sent)
+        assert receiver.upstreams.replicas['r1'].peers['i0'].running == 1
 
     play(check)
 
 
-def test_the_end_of_a_load_is_told_and_leaves_others_alone() -> None:
-    async def check(here: Daemon, there: Daemon, net: network.Network) -> None:
+def test_the_end_of_a_load_is_sent_and_keeps_others() -> None:
+    async def check(sender: Daemon, receiver: Daemon, net: network.Network) -> None:
         for name in ('r1', 'r2'):
-            replicas.begin_dispatch(here.known.replicas[name], name, 9000, now())
+            replicas.begin_dispatch(sender.upstreams.replicas[name], name, 9000, now())
         await asyncio.sleep(0.2)
-        replicas.end_dispatch(here.known.replicas['r1'], 'r1', now())
+        replicas.end_dispatch(sender.upstreams.replicas['r1'], 'r1', now())
         await asyncio.sleep(0.2)
-        assert 'i0' not in there.known.replicas['r1'].peers
-        assert there.known.replicas['r2'].peers['i0'].running == 1
+        assert 'i0' not in receiver.upstreams.replicas['r1'].peers
+        assert receiver.upstreams.replicas['r2'].peers['i0'].running == 1
 
     play(check)
 
 
-def test_a_small_change_waits_for_the_next_whole_message() -> None:
-    async def check(here: Daemon, there: Daemon, net: network.Network) -> None:
-        replica = here.known.replicas['r1']
+def test_a_small_change_waits_for_the_next_full_message() -> None:
+    async def check(sender: Daemon, receiver: Daemon, net: network.Network) -> None:
+        replica = sender.upstreams.replicas['r1']
         replicas.begin_dispatch(replica, 'a', 9000, now())
         await asyncio.sleep(0.2)
-        here.sent.clear()
+        sender.sent.clear()
         replicas.begin_dispatch(replica, 'b', 100, now())
         await asyncio.sleep(0.3)
-        assert not [m for m in here.sent if not m.whole]
-        await asyncio.sleep(loads.WHOLE_INTERVAL)
-        assert there.known.replicas['r1'].peers['i0'].running == 2
+        assert not [m for m in sender.sent if not m.whole]
+        await asyncio.sleep(loads.FULL_INTERVAL)
+        assert receiver.upstreams.replicas['r1'].peers['i0'].running == 2
 
     play(check)
 
 
-def test_what_a_lost_message_told_is_told_again() -> None:
-    async def check(here: Daemon, there: Daemon, net: network.Network) -> None:
+def test_a_full_message_repairs_a_lost_one() -> None:
+    async def check(sender: Daemon, receiver: Daemon, net: network.Network) -> None:
         await asyncio.sleep(1.5)
         net.loss = 1.0
-        replicas.begin_dispatch(here.known.replicas['r1'], 'a', 9000, now())
+        replicas.begin_dispatch(sender.upstreams.replicas['r1'], 'a', 9000, now())
         await asyncio.sleep(0.1)
         net.loss = 0.0
-        await asyncio.sleep(loads.WHOLE_INTERVAL + 0.1)
-        assert there.known.replicas['r1'].peers['i0'].running == 1
+        await asyncio.sleep(loads.FULL_INTERVAL + 0.1)
+        assert receiver.upstreams.replicas['r1'].peers['i0'].running == 1
 
     play(check)
--- a/passpier/tests/daemon/suspects_tests.py
+++ b/passpier/tests/daemon/suspects_tests.py
@@ -1,9 +1,8 @@
-"""A fleet in virtual time, with requests that end the replicas which run them.
+"""Requests that crash their replicas, in a simulated fleet in virtual time.
 
-Routers lose messages, are cut off from each other, and start again knowing nothing; replicas end by
-themselves, too. Counted is what the replicas see: how often a request is sent on after three of
-their processes have ended under it, from the time on by which all routers can know. And who pays:
-how many requests of others are held back.
+Routers lose messages, are partitioned, and restart with no state; replicas also crash for other
+reasons. The tests count how often a harmful request is still sent after its third crash, once all
+routers can know of it, and how many harmless requests are refused.
 """
 
 from __future__ import annotations
@@ -26,32 +25,32 @@
 from passpier.standins import network, virtual
 from passpier.tests.routing import fleets
 
-CONTACT = 3.0
-"""Seconds after a start or a cut from which on a router is held to what the others know."""
+SYNC_SECONDS = 3.0
+"""Seconds in which a router learns what others know, after its start and after a crash."""
 
-SENDS_AFTER = 3
-"""Sends of a request that are allowed after the third end, once that can be known."""
+MAX_LATE_SENDS = 3
+"""Sends of a request that are allowed after its third crash, once that can be known."""
 
 DEADLY = 1 << 40
-"""Fingerprints from here on are of requests that end the replicas."""
+"""Requests with fingerprints from this one on crash their replicas."""
 
-RUN = 0.3
+RUN_SECONDS = 0.3
 CRASH_AFTER = 0.1
-AWAY = 3.0
+RESTART_SECONDS = 3.0
 ATTEMPTS = 2
-CERTAIN_AFTER = 0.005
-"""Seconds that a router takes to see that a replica has ended."""
+DETECT_SECONDS = 0.005
+"""Seconds that a router takes to detect that a replica has crashed."""
 
 KNOWN_AFTER = (0.05, 0.5)
-"""Seconds until a router knows what was written into the registry."""
+"""Minimum and maximum seconds until a router sees a write to the registry."""
 
-ALONE_KNOWN_AFTER = (0.2, 2.0)
-"""The same for one that no other tells, and that has to find out."""
+ISOLATED_KNOWN_AFTER = (0.2, 2.0)
+"""The same for a router that is isolated from the others."""
 
 
 @dataclasses.dataclass
 class Replica:
-    """One replica; `ended` is set when its present process ends."""
+    """One replica; `ended` is set when its current process ends."""
 
     id: str
     born: int = 1
@@ -59,14 +58,14 @@
     ended: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     @property
-    def life(self) -> lives.Life:
+    def process(self) -> lives.Life:
         return lives.Life(self.id, self.born)
 
     def crash(self) -> None:
         if self.up:
             self.up = False
             self.ended.set()
-            asyncio.get_running_loop().call_later(AWAY, self.restart)
+            asyncio.get_running_loop().call_later(RESTART_SECONDS, self.restart)
 
     def restart(self) -> None:
         self.born += 1
@@ -76,20 +75,20 @@
 
 @dataclasses.dataclass
 class Send:
-    """One send as the replicas see it."""
+    """One request that reached a replica."""
 
     at: float
-    in_touch: bool
-    life: lives.Life
+    connected: bool
+    process: lives.Life
 
 
 class Router:
-    """What a router knows, and when it was last disturbed."""
+    """One router, and when it was started."""
 
     def __init__(self, fleet: Fleet, own: members.Member) -> None:
         self.own = own
-        self.disturbed_at = clocks.now()
-        self.known = knowledge.Knowledge(fleets.Records(), pools.Pools(10.0), 5.0)
+        self.started_at = clocks.now()
+        self.state = knowledge.Knowledge(fleets.Records(), pools.Pools(10.0), 5.0)
         membership = members.Membership(own, 1e6, clocks.now())
         for other in fleet.members:
             membership.add(other, clocks.now())
@@ -98,7 +97,7 @@
             membership, link, fleet.has_ended, lambda: membership.choose_targets(fleet.rng)
         )
         source = cast(registry.Registry, fleet)
-        self.marks = marks.Marks(source, self.known, self.suspects, own.incarnation)
+        self.marks = marks.Marks(source, self.state, self.suspects, own.incarnation)
         self.tasks = [
             asyncio.ensure_future(self.suspects.run()),
             asyncio.ensure_future(self.marks.run()),
@@ -110,7 +109,7 @@
 
 
 class Fleet:
-    """Routers before replicas; also the registry, of which all see every write."""
+    """Routers and replicas; also stands in for the registry."""
 
     def __init__(self, seed: int, routers: int = 6, replicas: int = 5) -> None:
         self.rng = random.Random(seed)
@@ -125,7 +124,7 @@
         self.routers = [Router(self, m) for m in self.members]
         self.sends: dict[int, list[Send]] = collections.defaultdict(list)
         self.outcomes: collections.Counter[str] = collections.Counter()
-        self.asking: list[asyncio.Task[None]] = []
+        self.requests: list[asyncio.Task[None]] = []
 
     async def grant(self, ttl: float) -> int:
         return 1
@@ -140,39 +139,39 @@
         for put in puts:
             self.items[put.key] = registry.Item(put.key, put.data, self.revision)
         for router in self.routers:
-            cut = router.own.peer in self.network.cut
-            delay = self.rng.uniform(*(ALONE_KNOWN_AFTER if cut else KNOWN_AFTER))
-            asyncio.get_running_loop().call_later(delay, router.known.members.update, self.items)
+            isolated = router.own.peer in self.network.cut
+            delay = self.rng.uniform(*(ISOLATED_KNOWN_AFTER if isolated else KNOWN_AFTER))
+            asyncio.get_running_loop().call_later(delay, router.state.members.update, self.items)
         return self.revision
 
-    async def has_ended(self, life: lives.Life) -> bool:
-        await asyncio.sleep(CERTAIN_AFTER)
-        (known,) = (r for r in self.replicas if r.id == life.id)
-        return not known.up or known.born != life.born
+    async def has_ended(self, process: lives.Life) -> bool:
+        await asyncio.sleep(DETECT_SECONDS)
+        (replica,) = (r for r in self.replicas if r.id == process.id)
+        return not replica.up or replica.born != process.born
 
     def restart(self, number: int) -> None:
         self.routers[number].stop()
         self.routers[number] = Router(self, self.members[number])
-        # It takes no requests before it has read the registry.
-        self.routers[number].known.members.update(self.items)
+        # A router accepts requests only after reading the registry.
+        self.routers[number].state.members.update(self.items)
 
-    def cut(self, numbers: set[int]) -> None:
-        """Cut some routers off from all others; they still reach replicas and registry."""
+    def isolate(self, numbers: set[int]) -> None:
+        """Isolate some routers from all others; they still reach the replicas and the registry."""
         self.network.cut |= {self.members[n].peer for n in numbers}
 
     def heal(self) -> None:
         self.network.cut.clear()
 
-    def ask(self, fingerprint: int) -> None:
-        self.asking.append(asyncio.ensure_future(self._ask(fingerprint)))
+    def send(self, fingerprint: int) -> None:
+        self.requests.append(asyncio.ensure_future(self._send(fingerprint)))
 
-    async def _ask(self, fingerprint: int) -> None:
+    async def _send(self, fingerprint: int) -> None:
         router = self.rng.choice(self.routers)
         tried: set[str] = set()
         for _ in range(ATTEMPTS):
             judgement = await router.suspects.judge_finally(fingerprint)
             if judgement.refused_for is not None:
-                self.outcomes['held back'] += fingerprint < DEADLY
+                self.outcomes['refused'] += fingerprint < DEADLY
                 return
             up = [r for r in self.replicas if r.up and r.id not in tried]
             if not up:
@@ -182,23 +181,23 @@
             if judgement.is_suspect:
                 chosen = max(up, key=lambda r: rendezvous.compute_weight(str(fingerprint), r.id))
             tried.add(chosen.id)
-            life = chosen.life
-            in_touch = clocks.now() - router.disturbed_at > CONTACT
-            self.sends[fingerprint].append(Send(clocks.now(), in_touch, life))
+            process = chosen.process
+            connected = clocks.now() - router.started_at > SYNC_SECONDS
+            self.sends[fingerprint].append(Send(clocks.now(), connected, process))
             router.suspects.begin(fingerprint, judgement, 1.0)
-            well = await self._run(fingerprint, chosen)
+            succeeded = await self._run(fingerprint, chosen)
             router.suspects.end(fingerprint)
-            if well:
+            if succeeded:
                 router.suspects.note_well(fingerprint)
                 self.outcomes['answered'] += 1
                 return
-            router.suspects.note_broken(fingerprint, life)
+            router.suspects.note_broken(fingerprint, process)
         self.outcomes['failed'] += fingerprint < DEADLY
 
     async def _run(self, fingerprint: int, replica: Replica) -> bool:
         ended = replica.ended
         try:
-            async with asyncio.timeout(CRASH_AFTER if fingerprint >= DEADLY else RUN):
+            async with asyncio.timeout(CRASH_AFTER if fingerprint >= DEADLY else RUN_SECONDS):
                 await ended.wait()
         except TimeoutError:
             if fingerprint >= DEADLY:
@@ -207,58 +206,58 @@
         return not ended.is_set()
 
     def count_late(self, fingerprint: int) -> int:
-        """Return the sends after the third end by routers that could know of it."""
+        """Return the number of sends after the third crash by routers that could know of it."""
         ends: dict[lives.Life, float] = {}
         for send in self.sends[fingerprint]:
-            ends.setdefault(send.life, send.at + CRASH_AFTER)
+            ends.setdefault(send.process, send.at + CRASH_AFTER)
         times = sorted(ends.values())
         if len(times) < 3:
             return 0
-        return sum(s.in_touch and s.at > times[2] + CONTACT for s in self.sends[fingerprint])
+        return sum(s.connected and s.at > times[2] + SYNC_SECONDS for s in self.sends[fingerprint])
 
 
 async def send_traffic(fleet: Fleet, seconds: float, rate: float, deadly: float) -> None:
-    """Send requests of their own each, and one deadly request every `deadly` seconds or so."""
+    """Send distinct harmless requests, and the deadly one every `deadly` seconds on average."""
 
     async def send_deadly() -> None:
         while clocks.now() < ends_at:
-            fleet.ask(DEADLY)
+            fleet.send(DEADLY)
             await asyncio.sleep(fleet.rng.uniform(0, 2 * deadly))
 
     ends_at = clocks.now() + seconds
-    coming = asyncio.ensure_future(send_deadly())
+    deadly_sender = asyncio.ensure_future(send_deadly())
     number = 0
     while clocks.now() < ends_at:
         number += 1
-        fleet.ask(number)
+        fleet.send(number)
         await asyncio.sleep(fleet.rng.expovariate(rate))
-    await coming
-    await asyncio.gather(*fleet.asking)
+    await deadly_sender
+    await asyncio.gather(*fleet.requests)
 
 
-def play(fleet_seed: int, trouble: str = '', seconds: float = 60.0, rate: float = 40.0) -> Fleet:
-    """Play a fleet with one kind of trouble and return it."""
-    played: list[Fleet] = []
+def simulate(fleet_seed: int, fault: str = '', seconds: float = 60.0, rate: float = 40.0) -> Fleet:
+    """Simulate a fleet with one kind of fault and return it."""
+    simulated: list[Fleet] = []
 
     async def run() -> None:
         fleet = Fleet(fleet_seed)
-        played.append(fleet)
-        disturbing = asyncio.ensure_future(TROUBLES[trouble](fleet)) if trouble else None
+        simulated.append(fleet)
+        injecting = asyncio.ensure_future(FAULTS[fault](fleet)) if fault else None
         await send_traffic(fleet, seconds, rate, 0.3)
-        if disturbing is not None:
-            disturbing.cancel()
+        if injecting is not None:
+            injecting.cancel()
         for router in fleet.routers:
             router.stop()
 
     virtual.run(run())
-    return played[0]
+    return simulated[0]
 
 
 async def lose_messages(fleet: Fleet) -> None:
     fleet.network.loss = 0.3
 
 
-async def restart_some(fleet: Fleet) -> None:
+async def restart_one_by_one(fleet: Fleet) -> None:
     while True:
         await asyncio.sleep(fleet.rng.uniform(0.5, 4.0))
         fleet.restart(fleet.rng.randrange(len(fleet.routers)))
@@ -271,61 +270,61 @@
             fleet.restart(number)
 
 
-async def cut_apart(fleet: Fleet) -> None:
-    """Cut half of the routers off from each other and from the rest; all reach the registry."""
+async def isolate_half(fleet: Fleet) -> None:
+    """Isolate half of the routers from all others; all still reach the registry."""
     while True:
         await asyncio.sleep(fleet.rng.uniform(0.0, 3.0))
         count = len(fleet.routers) // 2
-        fleet.cut(set(fleet.rng.sample(range(len(fleet.routers)), count)))
+        fleet.isolate(set(fleet.rng.sample(range(len(fleet.routers)), count)))
         await asyncio.sleep(fleet.rng.uniform(1.0, 20.0))
         fleet.heal()
 
 
 async def crash_replicas(fleet: Fleet) -> None:
-    """End replicas by another cause as well."""
+    """Crash replicas for other reasons."""
     while True:
         await asyncio.sleep(fleet.rng.uniform(0.5, 2.0))
         fleet.rng.choice(fleet.replicas).crash()
 
 
-TROUBLES = {
+FAULTS = {
     'messages are lost': lose_messages,
-    'routers start again': restart_some,
-    'all routers start again at once': restart_all,
-    'routers are cut off from each other': cut_apart,
-    'replicas end by another cause': crash_replicas,
+    'routers restart': restart_one_by_one,
+    'all routers restart at once': restart_all,
+    'routers are isolated': isolate_half,
+    'replicas crash for other reasons': crash_replicas,
 }
 
 in_virtual_time = pytest.mark.usefixtures('virtual_clock')
 
 
 @in_virtual_time
-@pytest.mark.parametrize('trouble', ['', *TROUBLES])
+@pytest.mark.parametrize('fault', ['', *FAULTS])
 @pytest.mark.parametrize('seed', range(4))
-def test_a_deadly_request_is_held_back_in_time(seed: int, trouble: str) -> None:
-    fleet = play(seed, trouble)
+def test_a_deadly_request_is_refused_in_time(seed: int, fault: str) -> None:
+    fleet = simulate(seed, fault)
     assert fleet.sends[DEADLY]
-    assert fleet.count_late(DEADLY) <= SENDS_AFTER
+    assert fleet.count_late(DEADLY) <= MAX_LATE_SENDS
 
 
 @in_virtual_time
 @pytest.mark.parametrize('seed', range(4))
-def test_few_others_are_held_back_beside_it(seed: int) -> None:
-    fleet = play(seed)
-    assert fleet.outcomes['held back'] <= 0.002 * fleet.outcomes['answered']
+def test_few_harmless_requests_are_refused_beside_it(seed: int) -> None:
+    fleet = simulate(seed)
+    assert fleet.outcomes['refused'] <= 0.002 * fleet.outcomes['answered']
 
 
-def play_storm(seed: int, fingerprints: Iterator[int]) -> collections.Counter[str]:
-    """Return what became of good requests while each replica ends every few seconds."""
+def simulate_crashes(seed: int, fingerprints: Iterator[int]) -> collections.Counter[str]:
+    """Return the outcomes of harmless requests while each replica crashes every few seconds."""
 
     async def run() -> collections.Counter[str]:
         fleet = Fleet(seed)
-        storm = asyncio.ensure_future(crash_replicas(fleet))
+        crashing = asyncio.ensure_future(crash_replicas(fleet))
         while clocks.now() < 60.0:
-            fleet.ask(next(fingerprints))
+            fleet.send(next(fingerprints))
             await asyncio.sleep(fleet.rng.expovariate(40.0))
-        storm.cancel()
-        await asyncio.gather(*fleet.asking)
+        crashing.cancel()
+        await asyncio.gather(*fleet.requests)
         for router in fleet.routers:
             router.stop()
         return fleet.outcomes
@@ -335,32 +334,32 @@
 
 @in_virtual_time
 @pytest.mark.parametrize('seed', range(4))
-def test_a_storm_of_other_ends_holds_hardly_anybody_back(seed: int) -> None:
-    outcomes = play_storm(seed, itertools.count(1))
+def test_unrelated_crashes_hardly_refuse_any_request(seed: int) -> None:
+    outcomes = simulate_crashes(seed, itertools.count(1))
     assert outcomes['answered'] > 1000
-    assert outcomes['held back'] <= 0.002 * outcomes['answered']
+    assert outcomes['refused'] <= 0.002 * outcomes['answered']
 
 
 @in_virtual_time
 @pytest.mark.parametrize('seed', range(4))
-def test_a_read_that_all_callers_share_is_hardly_held_back_in_a_storm(seed: int) -> None:
-    """Without a body all of an account's reads of one path are the same request."""
-    outcomes = play_storm(seed, itertools.repeat(1))
+def test_unrelated_crashes_hardly_refuse_a_shared_read(seed: int) -> None:
+    """All reads of one path by an account have the same fingerprint, as they have no body."""
+    outcomes = simulate_crashes(seed, itertools.repeat(1))
     assert outcomes['answered'] > 1000
-    assert outcomes['held back'] <= 0.002 * outcomes['answered']
+    assert outcomes['refused'] <= 0.002 * outcomes['answered']
 
 
 @in_virtual_time
-def test_two_deadly_requests_are_both_held_back() -> None:
+def test_two_deadly_requests_are_both_refused() -> None:
     async def run() -> None:
         fleet = Fleet(1)
         ends_at = clocks.now() + 40.0
         while clocks.now() < ends_at:
-            fleet.ask(fleet.rng.choice([DEADLY, DEADLY + 1, fleet.rng.randrange(DEADLY)]))
+            fleet.send(fleet.rng.choice([DEADLY, DEADLY + 1, fleet.rng.randrange(DEADLY)]))
             await asyncio.sleep(fleet.rng.uniform(0.0, 0.1))
-        await asyncio.gather(*fleet.asking)
+        await asyncio.gather(*fleet.requests)
         for router in fleet.routers:
             router.stop()
-        assert [fleet.count_late(x) <= SENDS_AFTER for x in (DEADLY, DEADLY + 1)] == [True, True]
+        assert [fleet.count_late(x) <= MAX_LATE_SENDS for x in (DEADLY, DEADLY + 1)] == [True, True]
 
     virtual.run(run())
