--- a/passpier/clients/connections.py
+++ b/passpier/clients/connections.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: opened with short patience, kept while both sides allow it."""
+"""A pool of persistent connections to upstreams."""
 
 from __future__ import annotations
 
@@ -16,59 +16,60 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT = 0.5
-"""Seconds; a connection takes milliseconds, and nothing was sent when it fails."""
+"""Seconds; connecting takes milliseconds, and a failed attempt is safe because nothing was sent."""
 
 UNACKED_TIMEOUT = 1500
 """Milliseconds for which sent bytes may stay unacknowledged (TCP_USER_TIMEOUT)."""
 
 KEEPALIVE_IDLE = 1
-"""Seconds of silence before the kernel probes a connection, and between probes."""
+"""Idle seconds before the kernel probes a connection, and seconds between probes."""
 
 KEEPALIVE_PROBES = 2
-IDLE_DEFAULT = 5.0
-"""Seconds for which a connection is kept if the upstream does not say how long it keeps it."""
+DEFAULT_IDLE_LIMIT = 5.0
+"""Idle timeout in seconds if the upstream does not state its own."""
 
 IDLE_MARGIN = 0.5
-"""Seconds before the upstream's own idle limit at which a connection is given up."""
+"""Seconds before the upstream's idle timeout at which a connection is closed."""
 
-ONCE_IDLE = 4.0
-"""Seconds of rest after which a connection is not trusted with a request that runs only once."""
+ONCE_IDLE_LIMIT = 4.0
+"""Idle seconds after which a connection is not used for a request that is not idempotent."""
 
-FORGOTTEN_WITHIN = 0.05
-"""Seconds after a send in which a reset tells that the other side had forgotten the connection: it
-takes a round trip, while a crash resets at any time."""
+STALE_RESET_WINDOW = 0.05
+"""Seconds after a send within which a reset means that the upstream had already dropped the idle
+connection: such a reset takes one round trip, while a crash causes one at any time."""
 
-FORGOTTEN_CAUTION = 0.5
-"""Part of the rest that proved too long which is still trusted."""
+STALE_IDLE_FACTOR = 0.5
+"""Fraction of the idle time of a stale connection that is still considered safe."""
 
-FORGOTTEN_MEMORY = 30.0
-"""Seconds for which that is remembered; a new connection is cheaper than a lost request."""
+STALE_MEMORY = 30.0
+"""Seconds for which the reduced idle limit applies; a new connection is cheaper than a lost
+request."""
 
-SILENCE_MEMORY = 5.0
-"""Seconds after a connection fell silent in which an answer on a new one speaks for the network.
-What answers later may have been started again."""
+UNRESPONSIVE_MEMORY = 5.0
+"""Seconds after a connection became unresponsive within which a response on a new connection shows
+that the network was at fault. A later response may come from a restarted process."""
 
 READ_SIZE = 65536
 
-UNACKED_AT = 24
-"""Where in Linux's `struct tcp_info` the number of unacknowledged segments stands."""
+TCP_INFO_UNACKED_OFFSET = 24
+"""Offset of the number of unacknowledged segments in Linux's `struct tcp_info`."""
 
 
-def guard(plain: socket.socket) -> None:
-    """Have the kernel end a connection that has fallen silent; accepted sockets inherit it.
+def guard(sock: socket.socket) -> None:
+    """Make the kernel close unresponsive connections; accepted sockets inherit the options.
 
-    Measured on loopback with a packet filter: 1.9 s after bytes that nobody acknowledges, 3.1 s
-    after the last sign of life of a connection that rests.
+    On loopback with a packet filter, a connection was closed 1.9 s after unacknowledged bytes, and
+    an idle one 3.1 s after the last packet from the peer.
     """
-    plain.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT)
-    plain.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    plain.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
-    plain.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_IDLE)
-    plain.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_IDLE)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
 
 class Connection:
-    """One connection; reads all the time, so that an end or stray bytes at rest are noticed."""
+    """One connection; always reads, to detect a close or unsolicited bytes while it is idle."""
 
     def __init__(self, pool: Pool, address: str, stream: tornado.iostream.IOStream) -> None:
         self._pool = pool
@@ -76,10 +77,10 @@
         self.stream = stream
         self.exchange: exchanges.Exchange | None = None
         self.idle_since = 0.0
-        self.idle_limit = IDLE_DEFAULT
+        self.idle_limit = DEFAULT_IDLE_LIMIT
         self.opened_at = clocks.now()
         self.used_at = self.opened_at
-        """When the present exchange began."""
+        """Start time of the current exchange."""
 
         self._reader = asyncio.ensure_future(self._read())
 
@@ -90,27 +91,27 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether sent bytes are not acknowledged; that takes a sound network milliseconds."""
+        """Whether sent bytes are unacknowledged; a healthy network takes milliseconds for that."""
         if self.closed:
             return False
         try:
-            told = self.stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
-            (unacked,) = struct.unpack_from('I', told, UNACKED_AT)
+            tcp_info = self.stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
+            (unacked,) = struct.unpack_from('I', tcp_info, TCP_INFO_UNACKED_OFFSET)
         except (OSError, struct.error) as error:
-            log.debug('state of a connection not known', extra={'error': str(error)})
+            log.debug('TCP_INFO not available', extra={'error': str(error)})
             return False
         return bool(unacked)
 
     def note_silent(self) -> None:
-        """Note that nothing has come back for the present exchange."""
+        """Record that the current exchange has received nothing."""
         self._pool.note_silent(self.address, self.used_at)
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self.stream.close()
 
     def rest(self, head: exchanges.Head) -> None:
-        """Be kept for the next exchange; `head` may say for how long."""
+        """Return the connection to its pool; `head` may state its idle timeout."""
         self._pool.keep(self, head)
 
     async def _read(self) -> None:
@@ -121,50 +122,52 @@
                 self._note_end()
                 return
             if self.exchange is None:
-                log.warning('bytes on a resting connection', extra={'address': self.address})
+                log.warning('bytes on an idle connection', extra={'address': self.address})
                 self.close()
                 return
             if not self.exchange.heard:
-                self._pool.note_answer(self)
+                self._pool.note_response(self)
             await self.exchange.take(data)
 
     def _note_end(self) -> None:
         if self.exchange is None:
             return
         reset = isinstance(self.stream.error, ConnectionResetError)
-        quick = clocks.now() - self.used_at < FORGOTTEN_WITHIN
+        quick = clocks.now() - self.used_at < STALE_RESET_WINDOW
         if self.idle_since and reset and quick and not self.exchange.heard:
-            self._pool.note_forgotten(self.address, self.used_at - self.idle_since)
+            self._pool.note_stale(self.address, self.used_at - self.idle_since)
         if isinstance(self.stream.error, TimeoutError):
             self.note_silent()
         self.exchange.note_closed(self.stream.error)
 
 
 class Pool:
-    """Opens exchanges and keeps connections; `opened` counts new connections.
+    """Opens exchanges on pooled connections; `opened` counts new connections.
 
-    An upstream may forget connections that rest, earlier than it says; then the next request on one
-    is lost. Once that is seen, requests that run only once take younger connections, everywhere:
-    what one upstream does the others of its kind do as well.
+    An upstream may drop idle connections earlier than it states, and the next request on such a
+    stale connection is lost. Once that is seen, requests that are not idempotent only use
+    connections with a shorter idle time, for all upstreams: upstreams of the same kind behave
+    alike.
 
-    Open connections may fall silent while new ones work, as when a device on the way has lost its
-    state. Once one does, those that rest at the same address are closed unused. If the address then
-    answers on a new connection, it was the network: all that rested at that time, anywhere, go.
+    Established connections may become unresponsive while new ones work, for example when a network
+    device has lost its state. Once one does, the idle connections to the same address are closed.
+    If the address then responds on a new connection, the network was at fault, and all connections
+    to any address that have been idle since before the fault are closed.
     """
 
     def __init__(self) -> None:
-        self._resting: dict[str, list[Connection]] = {}
-        self._once_idle = ONCE_IDLE
-        self._cautious_until = float('-inf')
-        self._silent_since: dict[str, float] = {}
-        """When the connections to an address fell silent that has not answered since."""
+        self._idle: dict[str, list[Connection]] = {}
+        self._once_idle_limit = ONCE_IDLE_LIMIT
+        self._once_idle_limit_until = float('-inf')
+        self._unresponsive_since: dict[str, float] = {}
+        """When the connections to an address became unresponsive, until it responds again."""
 
         self.opened = 0
         self.reused = 0
 
     async def open(self, address: str, request: exchanges.Request) -> exchanges.Exchange:
-        """Send a request and return its exchange; raises `ExchangeError`."""
-        connection = self._take_resting(address, request.once)
+        """Send a request and return its exchange; raise `ExchangeError` if that fails."""
+        connection = self._take_idle(address, request.once)
         if connection is None:
             connection = await self._connect(address)
         else:
@@ -172,7 +175,7 @@
         if request.may_send is not None and not request.may_send():
             connection.close()
             raise exchanges.ExchangeError(
-                exchanges.Fault.WITHHELD, 'no longer allowed when connected', False
+                exchanges.Fault.WITHHELD, 'no longer allowed once connected', False
             )
         exchange = exchanges.Exchange(connection, request)
         try:
@@ -185,7 +188,7 @@
     async def fetch(
         self, address: str, request: exchanges.Request, timeout: float
     ) -> exchanges.Answer:
-        """Return a whole answer within `timeout` seconds; raises `ExchangeError`."""
+        """Return the complete response within `timeout` seconds; raise `ExchangeError` if not."""
         exchange: exchanges.Exchange | None = None
         try:
             async with asyncio.timeout(timeout):
@@ -195,126 +198,134 @@
             if exchange is not None and not exchange.heard:
                 exchange.note_silent()
             raise exchanges.ExchangeError(
-                exchanges.Fault.LOST, 'timed out', exchange is not None
+                exchanges.Fault.TIMED_OUT, 'timed out', exchange is not None
             ) from error
         finally:
             if exchange is not None:
                 exchange.close()
 
     def keep(self, connection: Connection, head: exchanges.Head) -> None:
-        """Let a connection rest for the next exchange."""
+        """Keep an idle connection for the next exchange."""
         limit = _parse_idle_limit(head.get('keep-alive'))
-        connection.idle_limit = IDLE_DEFAULT if limit is None else limit
+        connection.idle_limit = DEFAULT_IDLE_LIMIT if limit is None else limit
         connection.idle_since = clocks.now()
-        self._resting.setdefault(connection.address, []).append(connection)
+        self._idle.setdefault(connection.address, []).append(connection)
 
     def close(self) -> None:
-        """Close all resting connections."""
-        for resting in self._resting.values():
-            for connection in resting:
+        """Close all idle connections."""
+        for idle in self._idle.values():
+            for connection in idle:
                 connection.close()
-        self._resting.clear()
+        self._idle.clear()
 
     def close_resting(self, address: str) -> None:
-        """Close what rests at an address whose process has ended: the next one knows none of it."""
-        for connection in self._resting.pop(address, []):
+        """Close the idle connections to an address whose process has ended."""
+        for connection in self._idle.pop(address, []):
             connection.close()
 
     def close_expired(self) -> None:
-        """Close connections that have rested for as long as the upstream allows.
+        """Close connections that have reached their idle limit.
 
-        Forgets silences that are long over.
+        Also drops outdated records of unresponsive addresses.
         """
         now = clocks.now()
-        for address, since in list(self._silent_since.items()):
-            if now - since > SILENCE_MEMORY:
-                del self._silent_since[address]
-        for address, resting in list(self._resting.items()):
-            kept = [c for c in resting if not c.closed and not _is_expired(c, now)]
-            for connection in resting:
+        for address, since in list(self._unresponsive_since.items()):
+            if now - since > UNRESPONSIVE_MEMORY:
+                del self._unresponsive_since[address]
+        for address, idle in list(self._idle.items()):
+            kept = [c for c in idle if not c.closed and not _is_expired(c, now)]
+            for connection in idle:
                 if connection not in kept:
                     connection.close()
             if kept:
-                self._resting[address] = kept
+                self._idle[address] = kept
             else:
-                del self._resting[address]
+                del self._idle[address]
 
-    def _take_resting(self, address: str, once: bool) -> Connection | None:
-        resting = self._resting.get(address, [])
+    def _take_idle(self, address: str, once: bool) -> Connection | None:
+        idle = self._idle.get(address, [])
         now = clocks.now()
-        while resting:
-            connection = resting.pop()
+        while idle:
+            connection = idle.pop()
             if connection.closed:
                 continue
             if _is_expired(connection, now):
                 connection.close()
                 continue
-            if once and now - connection.idle_since > self._get_once_idle(now):
-                # The ones below have rested for longer still.
-                resting.append(connection)
+            if once and now - connection.idle_since > self._get_once_idle_limit(now):
+                # The remaining ones have been idle for even longer.
+                idle.append(connection)
                 return None
             connection.used_at = now
             return connection
         return None
 
-    def note_forgotten(self, address: str, rested: float) -> None:
-        """Note that an upstream had forgotten a connection that had rested for some seconds."""
+    def note_stale(self, address: str, idle_seconds: float) -> None:
+        """Record that an upstream had dropped a connection that was idle for `idle_seconds`."""
         now = clocks.now()
-        self._once_idle = min(self._get_once_idle(now), rested * FORGOTTEN_CAUTION)
-        self._cautious_until = now + FORGOTTEN_MEMORY
+        self._once_idle_limit = min(
+            self._get_once_idle_limit(now), idle_seconds * STALE_IDLE_FACTOR
+        )
+        self._once_idle_limit_until = now + STALE_MEMORY
         log.info(
-            'resting connection forgotten',
+            'idle connection was stale',
             extra={
                 'address': address,
-                'rested': round(rested, 3),
-                'trusted': round(self._once_idle, 3),
+                'rested': round(idle_seconds, 3),
+                'trusted': round(self._once_idle_limit, 3),
             },
         )
 
     def note_silent(self, address: str, since: float) -> None:
-        """Note that a connection to an address brought nothing since a request was sent on it."""
-        resting = self._resting.pop(address, [])
-        if resting or address not in self._silent_since:
-            closed = len(resting)
-            log.info('connection silent', extra={'address': address, 'resting_closed': closed})
-        self._silent_since.setdefault(address, since)
-        for connection in resting:
+        """Record that a connection has received nothing since a request was sent on it."""
+        idle = self._idle.pop(address, [])
+        if idle or address not in self._unresponsive_since:
+            closed = len(idle)
+            log.info(
+                'connection unresponsive', extra={'address': address, 'resting_closed': closed}
+            )
+        self._unresponsive_since.setdefault(address, since)
+        for connection in idle:
             connection.close()
 
-    def note_answer(self, connection: Connection) -> None:
-        """Note that an address answers; a new connection tells of the older ones' silence."""
-        since = self._silent_since.get(connection.address)
+    def note_response(self, connection: Connection) -> None:
+        """Record that an address responds.
+
+        A response on a new connection shows that older connections are unresponsive because of the
+        network.
+        """
+        since = self._unresponsive_since.get(connection.address)
         if since is None or connection.opened_at < since:
             return
-        del self._silent_since[connection.address]
-        if clocks.now() - since > SILENCE_MEMORY:
+        del self._unresponsive_since[connection.address]
+        if clocks.now() - since > UNRESPONSIVE_MEMORY:
             return
         closed = 0
-        for resting in self._resting.values():
-            for other in resting:
+        for idle in self._idle.values():
+            for other in idle:
                 if other.idle_since < since:
                     other.close()
                     closed += 1
         log.info(
-            'old connections given up, an address answers on new ones',
+            'idle connections closed, address responds on new ones only',
             extra={'address': connection.address, 'closed': closed},
         )
 
-    def _get_once_idle(self, now: float) -> float:
-        return self._once_idle if now < self._cautious_until else ONCE_IDLE
+    def _get_once_idle_limit(self, now: float) -> float:
+        return self._once_idle_limit if now < self._once_idle_limit_until else ONCE_IDLE_LIMIT
 
     async def _connect(self, address: str) -> Connection:
         host, _, port = address.rpartition(':')
-        plain = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        plain.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        guard(plain)
-        stream = tornado.iostream.IOStream(plain)
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        guard(sock)
+        stream = tornado.iostream.IOStream(sock)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 await stream.connect((host, int(port)))
         except (TimeoutError, OSError, tornado.iostream.StreamClosedError) as error:
             stream.close()
-            message = f'no connection to {address}: {error}'
+            message = f'cannot connect to {address}: {error}'
             raise exchanges.ExchangeError(exchanges.Fault.CONNECT, message, False) from error
         except BaseException:
             stream.close()
@@ -328,7 +339,7 @@
 
 
 def _parse_idle_limit(text: str | None) -> float | None:
-    """Return the seconds of a `Keep-Alive: timeout=N` header."""
+    """Return the timeout in seconds of a `Keep-Alive: timeout=N` header."""
     for part in (text or '').split(','):
         name, _, value = part.strip().partition('=')
         if name.lower() == 'timeout' and value.strip().isdigit():
--- a/passpier/clients/engines.py
+++ b/passpier/clients/engines.py
@@ -1,4 +1,4 @@
-"""Model engines: OpenAI-style completions, streams that resume and cancel, load reports, orders."""
+"""Client of model engines: OpenAI-style completions, resumable streams, load reports, orders."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from passpier.clients import web
 
 END_MARK = b'[DONE]'
-"""Data of the event that ends a whole stream."""
+"""Data of the event that terminates a complete stream."""
 
 NO_SEQUENCE = -1
-"""Sequence of a chunk from an engine that does not number them."""
+"""Sequence number of a chunk from an engine that does not number its chunks."""
 
 
 class Delta(msgspec.Struct):
@@ -31,13 +31,13 @@
 
 
 class PromptDetails(msgspec.Struct):
-    """How many prompt tokens the engine took from its cache."""
+    """Details of the prompt tokens: how many were served from the engine's cache."""
 
     cached_tokens: int = 0
 
 
 class Usage(msgspec.Struct):
-    """Token counts of a whole answer."""
+    """Token counts of a complete response."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -55,7 +55,7 @@
 
     @property
     def text(self) -> str:
-        """The new text."""
+        """The new text of the first choice."""
         if not self.choices:
             return ''
         choice = self.choices[0]
@@ -63,12 +63,12 @@
 
     @property
     def finish_reason(self) -> str | None:
-        """Why the text ends here, or none."""
+        """The finish reason of the first choice, or none if the text goes on."""
         return self.choices[0].finish_reason if self.choices else None
 
 
 class LoadReport(msgspec.Struct):
-    """What an engine says of itself."""
+    """The load that an engine reports."""
 
     incarnation: str
     weight_version: str
@@ -82,7 +82,7 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """What every answer's headers say of the engine; load as running, waiting, backlog."""
+    """What the headers of a response tell about the engine; load is running, waiting, backlog."""
 
     incarnation: str
     weight_version: str
@@ -90,7 +90,7 @@
 
 
 class Engines(Protocol):
-    """How passpier talks to model engines."""
+    """Calls to model engines."""
 
     def generate(
         self, address: str, path: str, body: bytes, attempt: str, version: str, reuse: bool
@@ -98,20 +98,20 @@
         """Start a generation."""
 
     def resume(self, address: str, attempt: str, offset: int, chat: bool) -> web.Exchange:
-        """Take up a stream again."""
+        """Resume a stream."""
 
     async def cancel(self, address: str, attempt: str) -> None:
-        """Stop a generation."""
+        """Cancel a generation."""
 
     async def report(self, address: str) -> LoadReport:
-        """Return an engine's load report."""
+        """Fetch an engine's load report."""
 
     async def order(self, address: str, wanted: Mapping[str, Any], timeout: float) -> web.Answer:
-        """Tell an engine the state wanted of it."""
+        """Send an engine its desired state."""
 
 
 class HttpEngines:
-    """Engines reached over HTTP."""
+    """Calls model engines over HTTP."""
 
     def __init__(self, client: web.Client) -> None:
         self._client = client
@@ -119,7 +119,7 @@
     def generate(
         self, address: str, path: str, body: bytes, attempt: str, version: str, reuse: bool
     ) -> web.Exchange:
-        """Start a generation; the engine refuses it if it serves other weights."""
+        """Start a generation; the engine rejects it if it serves other weights."""
         headers = {
             'Content-Type': 'application/json',
             'X-Request-Id': attempt,
@@ -128,12 +128,12 @@
         return self._client.open('POST', f'http://{address}{path}', body, headers, reuse)
 
     def resume(self, address: str, attempt: str, offset: int, chat: bool) -> web.Exchange:
-        """Take up a stream again from the piece numbered `offset`."""
+        """Resume a stream from the chunk numbered `offset`."""
         url = f'http://{address}/v1/streams/{attempt}?offset={offset}' + ('&chat=1' * chat)
         return self._client.open('GET', url)
 
     async def cancel(self, address: str, attempt: str) -> None:
-        """Stop a generation; that the engine cannot be reached is no failure."""
+        """Cancel a generation; errors are ignored if the engine cannot be reached."""
         try:
             url = f'http://{address}/v1/streams/{attempt}/cancel'
             await self._client.fetch('POST', url, b'', timeout=2.0)
@@ -141,23 +141,23 @@
             return
 
     async def report(self, address: str) -> LoadReport:
-        """Return an engine's load report."""
-        answer = await self._client.fetch('GET', f'http://{address}/load', timeout=1.0)
-        if answer.status != 200:
-            raise web.ExchangeError(f'status {answer.status}', True)
+        """Fetch an engine's load report; raise `ExchangeError` if that fails."""
+        response = await self._client.fetch('GET', f'http://{address}/load', timeout=1.0)
+        if response.status != 200:
+            raise web.ExchangeError(f'status {response.status}', True)
         try:
-            return msgspec.json.decode(answer.body, type=LoadReport)
+            return msgspec.json.decode(response.body, type=LoadReport)
         except msgspec.DecodeError as error:
-            raise web.ExchangeError(f'bad load report: {error}', True) from error
+            raise web.ExchangeError(f'invalid load report: {error}', True) from error
 
     async def order(self, address: str, wanted: Mapping[str, Any], timeout: float) -> web.Answer:
-        """Tell an engine the state wanted of it."""
+        """Send an engine its desired state."""
         body = msgspec.json.encode(wanted)
         return await self._client.fetch('PUT', f'http://{address}/wanted', body, timeout=timeout)
 
 
 def parse_identity(headers: Mapping[str, str]) -> Identity:
-    """Return what an answer's headers say of the engine."""
+    """Return what the headers of a response tell about the engine."""
     load = None
     parts = headers.get('X-Engine-Load', '').split(',')
     if len(parts) == 3 and all(part.isdigit() for part in parts):
@@ -167,7 +167,7 @@
 
 
 async def read_events(exchange: web.Exchange) -> AsyncIterator[bytes]:
-    """Yield the data of each server-sent event."""
+    """Yield the data of each server-sent event of a response."""
     buffer = b''
     while (part := await exchange.read()) is not None:
         buffer += part
--- a/passpier/clients/exchanges.py
+++ b/passpier/clients/exchanges.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 exchanges with upstreams over kept connections.
+"""HTTP/1.1 exchanges with upstreams over persistent connections.
 
-The parser is h11, the sockets are tornado's. In place of a ready-made client, because a router has
-to know what none of them tells: whether any byte of a request left, whether an answer belongs to
-the request, whether it ended by its framing or by a reset, and whether bytes came that nobody asked
-for. A request is never sent a second time here.
+Built on h11 and tornado's sockets instead of a complete HTTP client, because the router needs to
+know what no client exposes: whether any byte of a request was sent, whether a response belongs to
+the request, whether it was terminated by its framing or by a reset, and whether unsolicited bytes
+arrived. This module never retries a request.
 """
 
 from __future__ import annotations
@@ -22,33 +22,33 @@
 log = logging.getLogger(__name__)
 
 BUFFERED_MAX = 512 * 1024
-"""Bytes of an answer that may wait for their reader before the socket is left unread."""
+"""Unread bytes of a response body beyond which the socket is no longer read."""
 
 
 class Fault(enum.Enum):
-    """How an exchange can fail."""
+    """Reasons for which an exchange fails."""
 
     CONNECT = 'connect'
-    """No connection came about; nothing was sent."""
+    """The connection could not be established; nothing was sent."""
 
     CLOSED = 'closed'
-    """The other side ended the connection before the answer was whole."""
+    """The peer closed the connection before the response was complete."""
 
-    LOST = 'lost'
-    """The connection was given up before the answer was whole, as nothing came back on it."""
+    TIMED_OUT = 'lost'
+    """The connection timed out before the response was complete."""
 
     REPLACED = 'replaced'
-    """Another process answers at the address."""
+    """Another process responds at the address."""
 
     WITHHELD = 'withheld'
-    """Not sent, since it was no longer allowed once the connection stood."""
+    """Not sent, because sending was no longer allowed once the connection was established."""
 
-    GARBLED = 'garbled'
-    """The bytes that came are no answer in the protocol."""
+    MALFORMED = 'garbled'
+    """The received bytes are not a valid HTTP response."""
 
 
 class ExchangeError(Exception):
-    """An exchange failed; `sent` is false if certainly nothing reached the upstream."""
+    """An exchange failed; `sent` is false only if nothing can have reached the upstream."""
 
     def __init__(self, fault: Fault, message: str, sent: bool) -> None:
         super().__init__(message)
@@ -60,7 +60,10 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """What is sent; the answer must carry `id` in the header `id_header`, if one is named."""
+    """A request; if `id_header` is set, the response must carry `id` in that header.
+
+    `once` marks a request that is not idempotent.
+    """
 
     method: str
     target: str
@@ -70,11 +73,11 @@
     id: str = ''
     once: bool = False
     may_send: Callable[[], bool] | None = None
-    """Asked right before the first byte goes out: a process may stand still while it connects."""
+    """Checked right before the first byte is sent: much time may pass while a connection opens."""
 
 
 class Head(msgspec.Struct, frozen=True):
-    """Status and headers of an answer; header names are in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     reason: str
@@ -87,14 +90,14 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A complete response."""
 
     head: Head
     body: bytes
 
 
 class Connection(Protocol):
-    """What an exchange asks of the connection that it runs on."""
+    """What an exchange requires of its connection."""
 
     address: str
     stream: tornado.iostream.IOStream
@@ -102,20 +105,20 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether sent bytes are not acknowledged."""
+        """Whether the peer has not yet acknowledged all sent bytes."""
 
     def note_silent(self) -> None:
-        """Note that nothing has come back for the present exchange."""
+        """Record that the current exchange has received nothing."""
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
 
     def rest(self, head: Head) -> None:
-        """Be kept for the next exchange; `head` may say for how long."""
+        """Return the connection to its pool; `head` may state its idle timeout."""
 
 
 class Exchange:
-    """One request whose answer is read as it comes."""
+    """One request and its response, which is streamed."""
 
     def __init__(self, connection: Connection, request: Request) -> None:
         self._connection = connection
@@ -124,18 +127,18 @@
         self._head: asyncio.Future[Head] = asyncio.get_running_loop().create_future()
         self._parts: collections.deque[bytes] = collections.deque()
         self._buffered = 0
-        self._changed = asyncio.Event()
-        self._read = asyncio.Event()
+        self._progress = asyncio.Event()
+        self._drained = asyncio.Event()
         self._ended = False
         self._error: ExchangeError | None = None
-        self._foreign = False
+        self._is_mismatched = False
         self.heard = False
-        """Whether any bytes have come."""
+        """Whether any bytes have been received."""
 
         connection.exchange = self
 
     def send(self) -> None:
-        """Write the request."""
+        """Send the request."""
         headers = [(n, v) for n, v in self._request.headers]
         if self._request.body or self._request.method not in ('GET', 'HEAD'):
             headers.append(('Content-Length', str(len(self._request.body))))
@@ -147,49 +150,49 @@
             data += self._parser.send(h11.Data(data=self._request.body)) or b''
         data += self._parser.send(h11.EndOfMessage()) or b''
         future = self._connection.stream.write(data)
-        # The reader notices a connection that ends; the write's own error says nothing more.
+        # The reader detects a closed connection; the error of the write adds nothing to that.
         future.add_done_callback(lambda f: f.exception())
 
     @property
     def is_silent(self) -> bool:
-        """Whether the request is out, but not acknowledged by the kernel of the other side."""
+        """Whether the request is sent, but the peer's kernel has not acknowledged it."""
         return not self.heard and self._connection.is_silent
 
     def note_silent(self) -> None:
-        """Have no other request sent on connections that may be as silent as this one."""
+        """Keep other requests off connections that may be as unresponsive as this one."""
         self._connection.note_silent()
 
     async def read_head(self) -> Head:
-        """Return status and headers."""
+        """Wait for the response's status and headers."""
         return await asyncio.shield(self._head)
 
     async def read(self) -> bytes | None:
-        """Return the next part of the body, or none at its end."""
+        """Return the next part of the body, or none at the end."""
         while not self._parts:
             if self._error is not None:
                 raise self._error
             if self._ended:
                 return None
-            self._changed.clear()
-            await self._changed.wait()
+            self._progress.clear()
+            await self._progress.wait()
         part = self._parts.popleft()
         self._buffered -= len(part)
-        self._read.set()
+        self._drained.set()
         return part
 
     async def read_all(self, most: int = 16 * 1024 * 1024) -> Answer:
-        """Return the whole answer of at most `most` bytes."""
+        """Read the complete response; its body may have at most `most` bytes."""
         head = await self.read_head()
         body = bytearray()
         while (part := await self.read()) is not None:
             body += part
             if len(body) > most:
-                raise ExchangeError(Fault.GARBLED, 'the answer is too long', True)
+                raise ExchangeError(Fault.MALFORMED, 'the response is too long', True)
         return Answer(head, bytes(body))
 
     def close(self) -> None:
-        """End the exchange: whatever has not come by now is not wanted."""
-        self._read.set()
+        """Abort the exchange; whatever has not been received is discarded."""
+        self._drained.set()
         if self._connection.exchange is self:
             self._connection.exchange = None
             self._connection.close()
@@ -197,20 +200,23 @@
             self._head.cancel()
 
     async def take(self, data: bytes) -> None:
-        """Parse what came; waits while the reader of the answer is far behind."""
+        """Parse received bytes; wait while the reader of the body is far behind."""
         self.heard = True
         try:
             self._parser.receive_data(data)
             self._parse()
         except h11.RemoteProtocolError as error:
-            self._fail(Fault.GARBLED, str(error))
+            self._fail(Fault.MALFORMED, str(error))
             self._connection.close()
         while self._buffered > BUFFERED_MAX and self._connection.exchange is self:
-            self._read.clear()
-            await self._read.wait()
+            self._drained.clear()
+            await self._drained.wait()
 
     def note_closed(self, error: BaseException | None) -> None:
-        """Note that the connection ended; only an orderly end can end an answer without length."""
+        """Handle the end of the connection.
+
+        Only an orderly close can complete a response that has no length.
+        """
         if self._ended or self._error is not None:
             return
         if error is None:
@@ -218,11 +224,11 @@
                 self._parser.receive_data(b'')
                 self._parse()
             except h11.RemoteProtocolError:
-                self._fail(Fault.CLOSED, 'the connection ended before the answer was whole')
+                self._fail(Fault.CLOSED, 'the connection closed before the response was complete')
         if not self._ended:
-            told = error is None or isinstance(error, ConnectionError)
-            fault = Fault.CLOSED if told else Fault.LOST
-            self._fail(fault, str(error or 'the connection ended'))
+            closed_by_peer = error is None or isinstance(error, ConnectionError)
+            fault = Fault.CLOSED if closed_by_peer else Fault.TIMED_OUT
+            self._fail(fault, str(error or 'the connection closed'))
 
     def _parse(self) -> None:
         while True:
@@ -230,54 +236,54 @@
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             if isinstance(event, h11.Response):
-                self._take_head(event)
+                self._receive_head(event)
             elif isinstance(event, h11.Data):
-                self._take_part(bytes(event.data))
+                self._receive_part(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                if not self._foreign:
+                if not self._is_mismatched:
                     self._finish()
                     return
-                self._skip_answer()
+                self._skip_response()
             elif isinstance(event, h11.ConnectionClosed):
-                self._fail(Fault.CLOSED, 'closed before the answer was whole')
+                self._fail(Fault.CLOSED, 'closed before the response was complete')
                 return
 
-    def _take_head(self, event: h11.Response) -> None:
+    def _receive_head(self, event: h11.Response) -> None:
         headers = [(n.decode('latin-1'), v.decode('latin-1')) for n, v in event.headers]
         head = Head(event.status_code, event.reason.decode('latin-1'), headers)
         expected = self._request.id_header
-        self._foreign = bool(expected) and head.get(expected) != self._request.id
-        if not self._foreign and not self._head.done():
+        self._is_mismatched = bool(expected) and head.get(expected) != self._request.id
+        if not self._is_mismatched and not self._head.done():
             self._head.set_result(head)
 
-    def _take_part(self, part: bytes) -> None:
-        if not self._foreign:
+    def _receive_part(self, part: bytes) -> None:
+        if not self._is_mismatched:
             self._parts.append(part)
             self._buffered += len(part)
-            self._changed.set()
+            self._progress.set()
 
-    def _skip_answer(self) -> None:
-        """Go on behind an answer to another request; ours may follow on the same connection."""
+    def _skip_response(self) -> None:
+        """Skip the response to another request; ours may follow on the same connection."""
         log.warning(
-            'answer to another request dropped',
+            'response to another request dropped',
             extra={'request': self._request.id, 'address': self._connection.address},
         )
         rest, _ = self._parser.trailing_data
         self._parser = _start_parser()
-        self._write_unsent(self._parser)
-        self._foreign = False
+        self._mark_request_sent(self._parser)
+        self._is_mismatched = False
         if rest:
             self._parser.receive_data(rest)
 
-    def _write_unsent(self, parser: h11.Connection) -> None:
-        """Bring a new parser to where the request is out, without writing it."""
+    def _mark_request_sent(self, parser: h11.Connection) -> None:
+        """Put a new parser into the state after sending a request, without sending anything."""
         headers = [('Host', 'x'), ('Content-Length', '0')]
         parser.send(h11.Request(method=self._request.method, target='/', headers=headers))
         parser.send(h11.EndOfMessage())
 
     def _finish(self) -> None:
         self._ended = True
-        self._changed.set()
+        self._progress.set()
         if self._connection.exchange is not self:
             return
         self._connection.exchange = None
@@ -300,9 +306,9 @@
             self._connection.close()
         if not self._head.done():
             self._head.set_exception(self._error)
-            # Whoever gave the exchange up no longer reads the head.
+            # Retrieves the exception, because an abandoned exchange has nobody to read the head.
             self._head.exception()
-        self._changed.set()
+        self._progress.set()
 
 
 def _start_parser() -> h11.Connection:
--- a/passpier/clients/kvevents.py
+++ b/passpier/clients/kvevents.py
@@ -1,18 +1,18 @@
-"""Cache events as vLLM publishes them over ZeroMQ: topic, sequence number, MessagePack batch."""
+"""Cache events that vLLM publishes over ZeroMQ: topic, sequence number, MessagePack batch."""
 
 from __future__ import annotations
 
 import msgspec
 
 TOPIC_PREFIX = 'kv@'
-"""A topic reads `kv@<incarnation>@<model>`."""
+"""Prefix of a topic, which has the form `kv@<incarnation>@<model>`."""
 
 REPLAY_END = (-1).to_bytes(8, 'big', signed=True)
-"""Sequence number that ends a replay."""
+"""Sequence number that marks the end of a replay."""
 
 
 class BlockStored(msgspec.Struct, array_like=True, tag='BlockStored'):
-    """Blocks that were added to the cache, as a chain behind `parent_block_hash`."""
+    """A chain of blocks that follows `parent_block_hash` and was added to the cache."""
 
     block_hashes: list[int]
     parent_block_hash: int | None
@@ -51,12 +51,12 @@
 
 
 def build_topic(incarnation: str, model: str) -> bytes:
-    """Return the topic of an engine's events."""
+    """Return the topic of an engine's cache events."""
     return f'{TOPIC_PREFIX}{incarnation}@{model}'.encode()
 
 
 def parse_topic(topic: bytes) -> tuple[str, str]:
-    """Return the incarnation and the model that a topic names; empty strings if it names none."""
+    """Return the incarnation and the model of a topic, or empty strings if it is malformed."""
     parts = topic.decode(errors='replace').split('@')
     if len(parts) != 3 or parts[0] + '@' != TOPIC_PREFIX:
         return '', ''
--- a/passpier/clients/registry.py
+++ b/passpier/clients/registry.py
@@ -1,7 +1,8 @@
-"""What passpier asks of the platform's key-value service when it keeps nothing of its own.
+"""Interface to the platform's key-value service, for routers that keep no data of their own.
 
-The revisions are the service's single counter; they only rise. `sent_at` is the monotonic time, in
-seconds, at which a call was sent: what its answer shows was in force at that moment or later.
+Revisions are values of the service's single counter, which only increases. `sent_at` is the
+monotonic time in seconds at which a call was sent; the data in its response was valid at that time
+or later.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class Item(msgspec.Struct, frozen=True):
-    """A key's value; `removed` items tell only that the key is gone."""
+    """A key with its value, or only the key of a deleted one if `removed` is set."""
 
     key: str
     data: bytes
@@ -25,7 +26,7 @@
 
 
 class Reading(msgspec.Struct, frozen=True):
-    """All items under a prefix; changes behind `revision` may be missing from it."""
+    """All items under a prefix; changes after `revision` may or may not be included."""
 
     items: tuple[Item, ...]
     revision: int
@@ -33,7 +34,7 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What a watch told; the next one goes on behind `revision`."""
+    """Changes that a watch returned; the next watch continues after `revision`."""
 
     items: tuple[Item, ...]
     revision: int
@@ -42,7 +43,7 @@
 
 
 class Put(msgspec.Struct, frozen=True):
-    """A write of a transaction; `lease` 0 binds it to none."""
+    """A write in a transaction; it is bound to `lease` unless that is 0."""
 
     key: str
     data: bytes
@@ -50,37 +51,43 @@
 
 
 class IsAt(msgspec.Struct, frozen=True):
-    """A condition: the key was last written at `revision`; 0 means it is absent."""
+    """A precondition: the key was last written at `revision`; 0 means that it does not exist."""
 
     key: str
     revision: int
 
 
 class HistoryGoneError(exceptions.StoreError):
-    """The service no longer knows what changed behind a revision; all has to be read again."""
+    """The service has dropped the history after a revision; the prefix has to be read again."""
 
 
 class LeaseGoneError(exceptions.StoreError):
-    """The lease is over."""
+    """The lease has expired."""
 
 
 class Registry(Protocol):
-    """The calls; each may raise `StoreError`, after which a write may still take effect."""
+    """Calls to the service.
+
+    Each may raise `StoreError`; a write that raised it may nevertheless take effect.
+    """
 
     async def read(self, prefix: str) -> Reading:
         """Return all items under a prefix."""
 
     async def watch(self, prefix: str, after: int, wait: float) -> Changes:
-        """Return the changes behind a revision, at the latest after `wait` seconds."""
+        """Return the changes after a revision, after at most `wait` seconds."""
 
     async def write(self, puts: Sequence[Put], conditions: Sequence[IsAt] = ()) -> int:
-        """Carry out all writes and return their revision; raise `ConflictError` if not."""
+        """Apply all writes in one transaction and return its revision.
+
+        Raises `ConflictError` if a precondition does not hold.
+        """
 
     async def grant(self, ttl: float) -> int:
-        """Return a new lease of `ttl` seconds."""
+        """Grant a lease of `ttl` seconds and return its id."""
 
     async def renew(self, lease: int) -> None:
-        """Renew a lease; raises `LeaseGoneError` if it is over."""
+        """Renew a lease; raise `LeaseGoneError` if it has expired."""
 
     async def end(self, lease: int) -> None:
-        """End a lease; its keys go with it."""
+        """Revoke a lease and delete its keys."""
--- a/passpier/clients/rpc.py
+++ b/passpier/clients/rpc.py
@@ -1,4 +1,4 @@
-"""The command line's way to a daemon: JSON-RPC 2.0 over HTTP."""
+"""JSON-RPC 2.0 client over HTTP that the command line uses to call a daemon."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RpcError(exceptions.PasspierError):
-    """The daemon refused a procedure; `code` is the JSON-RPC error code."""
+    """The daemon returned an error; `code` is the JSON-RPC error code."""
 
     def __init__(self, code: int, message: str, data: Any) -> None:
         super().__init__(message if data is None else f'{message}: {data}')
@@ -20,11 +20,11 @@
 
 
 class UnreachableError(exceptions.PasspierError):
-    """No daemon answered."""
+    """No daemon responded."""
 
 
 def call(address: str, secret: str, method: str, parameters: dict[str, Any], timeout: float) -> Any:
-    """Return a procedure's result; raises `RpcError` or `UnreachableError`."""
+    """Call a method and return its result; raise `RpcError` or `UnreachableError`."""
     body = {'jsonrpc': '2.0', 'id': 1, 'method': method, 'params': parameters}
     request = tornado.httpclient.HTTPRequest(
         f'http://{address}/rpc',
@@ -45,8 +45,8 @@
         raise UnreachableError(f'the daemon at {address} refuses the operator secret')
     if response.code != 200:
         raise UnreachableError(f'no daemon answers at {address}: {response.error}')
-    answer = msgspec.json.decode(response.body)
-    if 'error' in answer:
-        refusal = answer['error']
-        raise RpcError(refusal['code'], refusal['message'], refusal.get('data'))
-    return answer['result']
+    reply = msgspec.json.decode(response.body)
+    if 'error' in reply:
+        failure = reply['error']
+        raise RpcError(failure['code'], failure['message'], failure.get('data'))
+    return reply['result']
--- a/passpier/clients/store.py
+++ b/passpier/clients/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service: a `Protocol`, the etcd v3 JSON gateway, and a memory store."""
+"""Clients of the key-value store: the interface, the etcd v3 JSON gateway, an in-memory store."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from passpier.clients import registry, web
 
 CALL_TIMEOUT = 2.0
-"""Seconds after which a call counts as unanswered."""
+"""Timeout of a call in seconds."""
 
 
 class Value(msgspec.Struct, frozen=True):
-    """A key's value; the revisions are the store's, 0 for an absent key."""
+    """A key with its value and the store revisions of its creation and its last change."""
 
     key: str
     data: bytes
@@ -27,7 +27,7 @@
 
 
 class Delete(msgspec.Struct, frozen=True):
-    """A deletion of a transaction."""
+    """A deletion in a transaction."""
 
     key: str
 
@@ -37,34 +37,34 @@
 
 
 class Store(Protocol):
-    """What passpier asks of a key-value service. Every call may raise `StoreError`."""
+    """Interface to a key-value store. Every call may raise `StoreError`."""
 
     async def read(self, prefix: str) -> list[Value]:
         """Return all values whose key starts with `prefix`."""
 
     async def get(self, key: str) -> Value | None:
-        """Return one value."""
+        """Return the value of a key, or none if it does not exist."""
 
     async def write(
         self, operations: Sequence[Put | Delete], conditions: Sequence[IsAt] = ()
     ) -> bool:
-        """Carry out all operations if all conditions hold; return whether they did."""
+        """Apply all operations if all conditions hold; return whether they did."""
 
     async def grant(self, ttl: int) -> int:
-        """Return a new lease of `ttl` seconds."""
+        """Grant a lease of `ttl` seconds and return its id."""
 
     async def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; false if it has lapsed."""
+        """Renew a lease; return false if it has expired."""
 
     async def revoke(self, lease: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
 
     def watch(self, prefix: str) -> AsyncIterator[None]:
-        """Yield once when watching, and again whenever something under `prefix` changed."""
+        """Yield once the watch is established, and after each change under `prefix`."""
 
 
 class EtcdStore:
-    """The etcd v3 JSON gateway; endpoints are tried in turn."""
+    """A store behind the etcd v3 JSON gateway; a failed call switches to the next endpoint."""
 
     def __init__(self, endpoints: Sequence[str], client: web.Client) -> None:
         self._endpoints = itertools.cycle(endpoints)
@@ -74,42 +74,42 @@
     async def read(self, prefix: str) -> list[Value]:
         """Return all values whose key starts with `prefix`."""
         body = {'key': _encode(prefix), 'range_end': _encode(_next_prefix(prefix))}
-        return [_parse(kv) for kv in (await self._call('/v3/kv/range', body)).get('kvs', [])]
+        return [_parse_value(kv) for kv in (await self._call('/v3/kv/range', body)).get('kvs', [])]
 
     async def get(self, key: str) -> Value | None:
-        """Return one value."""
+        """Return the value of a key, or none if it does not exist."""
         kvs = (await self._call('/v3/kv/range', {'key': _encode(key)})).get('kvs', [])
-        return _parse(kvs[0]) if kvs else None
+        return _parse_value(kvs[0]) if kvs else None
 
     async def write(
         self, operations: Sequence[Put | Delete], conditions: Sequence[IsAt] = ()
     ) -> bool:
-        """Carry out all operations if all conditions hold; return whether they did."""
+        """Apply all operations if all conditions hold; return whether they did."""
         compare = [
             {'key': _encode(c.key), 'target': 'MOD', 'mod_revision': str(c.revision)}
             for c in conditions
         ]
-        body = {'compare': compare, 'success': [_render(o) for o in operations]}
+        body = {'compare': compare, 'success': [_render_operation(o) for o in operations]}
         return bool((await self._call('/v3/kv/txn', body)).get('succeeded'))
 
     async def grant(self, ttl: int) -> int:
-        """Return a new lease of `ttl` seconds."""
+        """Grant a lease of `ttl` seconds and return its id."""
         return int((await self._call('/v3/lease/grant', {'TTL': str(ttl)}))['ID'])
 
     async def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; false if it has lapsed."""
-        answer = await self._call('/v3/lease/keepalive', {'ID': str(lease)})
-        return int(answer.get('result', {}).get('TTL', 0)) > 0
+        """Renew a lease; return false if it has expired."""
+        response = await self._call('/v3/lease/keepalive', {'ID': str(lease)})
+        return int(response.get('result', {}).get('TTL', 0)) > 0
 
     async def revoke(self, lease: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         await self._call('/v3/lease/revoke', {'ID': str(lease)})
 
     async def watch(self, prefix: str) -> AsyncIterator[None]:
-        """Yield once when watching, and again whenever something under `prefix` changed."""
+        """Yield once the watch is established, and after each change under `prefix`."""
         create = {'key': _encode(prefix), 'range_end': _encode(_next_prefix(prefix))}
         exchange = self._client.open(
-            'POST', f'http://{self._endpoint}/v3/watch', _dump({'create_request': create})
+            'POST', f'http://{self._endpoint}/v3/watch', _encode_body({'create_request': create})
         )
         try:
             while True:
@@ -123,19 +123,19 @@
 
     async def _call(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
         try:
-            answer = await self._client.fetch(
-                'POST', f'http://{self._endpoint}{path}', _dump(body), timeout=CALL_TIMEOUT
+            response = await self._client.fetch(
+                'POST', f'http://{self._endpoint}{path}', _encode_body(body), timeout=CALL_TIMEOUT
             )
         except web.ExchangeError as error:
             self._endpoint = next(self._endpoints)
             raise exceptions.StoreError(f'{path}: {error}') from error
-        if answer.status != 200:
-            raise exceptions.StoreError(f'{path}: status {answer.status}')
-        return msgspec.json.decode(answer.body)
+        if response.status != 200:
+            raise exceptions.StoreError(f'{path}: status {response.status}')
+        return msgspec.json.decode(response.body)
 
 
 class MemoryStore:
-    """A store of this process alone, for trying a daemon out."""
+    """A store in the memory of this process, to try out a single daemon."""
 
     def __init__(self) -> None:
         self._values: dict[str, Value] = {}
@@ -147,13 +147,13 @@
         return [v for k, v in sorted(self._values.items()) if k.startswith(prefix)]
 
     async def get(self, key: str) -> Value | None:
-        """Return one value."""
+        """Return the value of a key, or none if it does not exist."""
         return self._values.get(key)
 
     async def write(
         self, operations: Sequence[Put | Delete], conditions: Sequence[IsAt] = ()
     ) -> bool:
-        """Carry out all operations if all conditions hold; return whether they did."""
+        """Apply all operations if all conditions hold; return whether they did."""
         for condition in conditions:
             value = self._values.get(condition.key)
             if (value.mod_revision if value else 0) != condition.revision:
@@ -170,18 +170,18 @@
         return True
 
     async def grant(self, ttl: int) -> int:
-        """Return a lease; it never lapses while this process lives."""
+        """Return a lease id; leases never expire."""
         return 1
 
     async def keep_alive(self, lease: int) -> bool:
-        """Renew nothing."""
+        """Do nothing; leases never expire."""
         return True
 
     async def revoke(self, lease: int) -> None:
-        """End nothing."""
+        """Do nothing; keys are not bound to leases."""
 
     async def watch(self, prefix: str) -> AsyncIterator[None]:
-        """Yield once when watching, and again whenever anything changed."""
+        """Yield immediately, and after each change of any key."""
         while True:
             changed = self._changed
             yield None
@@ -196,11 +196,11 @@
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
-def _dump(body: dict[str, Any]) -> bytes:
+def _encode_body(body: dict[str, Any]) -> bytes:
     return msgspec.json.encode(body)
 
 
-def _parse(kv: dict[str, Any]) -> Value:
+def _parse_value(kv: dict[str, Any]) -> Value:
     return Value(
         base64.b64decode(kv['key']).decode(),
         base64.b64decode(kv.get('value', '')),
@@ -209,7 +209,7 @@
     )
 
 
-def _render(operation: Put | Delete) -> dict[str, Any]:
+def _render_operation(operation: Put | Delete) -> dict[str, Any]:
     if isinstance(operation, Delete):
         return {'request_delete_range': {'key': _encode(operation.key)}}
     put = {
--- a/passpier/clients/web.py
+++ b/passpier/clients/web.py
@@ -1,4 +1,4 @@
-"""HTTP exchanges through tornado's curl client, with what a router must know of their failures."""
+"""HTTP exchanges over tornado's curl client that tell whether a failed request was sent."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 import tornado.httputil
 
 MAX_CLIENTS = 4000
-"""Exchanges at once; beyond it they would queue inside the client, unseen by admission."""
+"""Concurrent exchanges; more would queue inside the client, where admission control cannot see
+them."""
 
 MAX_BUFFERED = 8 * 1024 * 1024
-"""Bytes of an answer that may wait for their reader before the exchange is ended."""
+"""Unread bytes of a response beyond which the exchange is aborted."""
 
 CONNECT_TIMEOUT = 1.0
 """Seconds."""
 
 
 class ExchangeError(Exception):
-    """An exchange failed; `sent` is false if certainly nothing reached the other side."""
+    """An exchange failed; `sent` is false only if nothing can have reached the server."""
 
     def __init__(self, message: str, sent: bool) -> None:
         super().__init__(message)
@@ -30,14 +31,14 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: tornado.httputil.HTTPHeaders
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: tornado.httputil.HTTPHeaders
@@ -45,7 +46,7 @@
 
 
 class Exchange:
-    """One request whose answer is read as it comes."""
+    """One request and its response, which is streamed."""
 
     def __init__(self, client: tornado.curl_httpclient.CurlAsyncHTTPClient) -> None:
         self._client = client
@@ -58,11 +59,11 @@
         self._error: ExchangeError | None = None
 
     def start(self, request: tornado.httpclient.HTTPRequest, reuse: bool) -> None:
-        """Send the request. Without `reuse`, a connection of its own is made for it.
+        """Send the request. Without `reuse`, it gets a new connection of its own.
 
-        On a reused connection that dies before the answer, curl would send a request a second
-        time. That is stopped in `_note_sent`; a request that may run only once does not even get
-        into the way of it.
+        If a reused connection closes before the response, curl retries the request. `_note_sent`
+        prevents that; a request that is not idempotent uses a new connection anyway, so that the
+        case does not arise.
         """
 
         def prepare(curl: pycurl.Curl) -> None:
@@ -74,17 +75,17 @@
             curl.setopt(pycurl.XFERINFOFUNCTION, lambda *_: int(self._aborted))
 
         request.prepare_curl_callback = prepare
-        request.header_callback = self._take_line
-        request.streaming_callback = self._take_part
+        request.header_callback = self._receive_header_line
+        request.streaming_callback = self._receive_part
         future = self._client.fetch(request, raise_error=False)
         future.add_done_callback(self._finish)
 
     async def read_head(self) -> Head:
-        """Return status and headers."""
+        """Wait for the response's status and headers."""
         return await asyncio.shield(self._head)
 
     async def read(self) -> bytes | None:
-        """Return the next part of the body, or none at its end."""
+        """Return the next part of the body, or none at the end."""
         part = await self._parts.get()
         if part is None:
             self._parts.put_nowait(None)
@@ -95,7 +96,7 @@
         return part
 
     async def read_all(self) -> Answer:
-        """Return the whole answer."""
+        """Read the complete response."""
         head = await self.read_head()
         body = bytearray()
         while (part := await self.read()) is not None:
@@ -103,20 +104,20 @@
         return Answer(head.status, head.headers, bytes(body))
 
     def abort(self) -> None:
-        """End the exchange soon, whatever is still to come."""
+        """Abort the exchange; curl notices it at its next progress callback."""
         self._aborted = True
         if not self._head.done():
             self._head.cancel()
 
     def _note_sent(self, *_: object) -> int:
-        # Called when the connection stands and the request is about to go out on it. A second
-        # time curl would send it again by itself, past the retry budget.
+        # Called when the connection is established and the request is about to be sent. A second
+        # call means that curl retries on its own, which would bypass the retry budget.
         if self._sent:
             return pycurl.PREREQFUNC_ABORT
         self._sent = True
         return pycurl.PREREQFUNC_OK
 
-    def _take_line(self, line: str) -> None:
+    def _receive_header_line(self, line: str) -> None:
         if line.startswith('HTTP/'):
             self._lines = [line]
         elif line.strip():
@@ -127,7 +128,7 @@
             if start.code >= 200:
                 self._head.set_result(Head(start.code, headers))
 
-    def _take_part(self, part: bytes) -> None:
+    def _receive_part(self, part: bytes) -> None:
         self._buffered += len(part)
         if self._buffered > MAX_BUFFERED:
             self._aborted = True
@@ -139,15 +140,15 @@
         elif future.exception() is not None:
             self._error = ExchangeError(str(future.exception()), self._sent)
         if not self._head.done():
-            error = self._error or ExchangeError('no answer', True)
+            error = self._error or ExchangeError('no response', True)
             self._head.set_exception(error)
-            # Whoever gave the exchange up no longer reads the head.
+            # Retrieves the exception, because an abandoned exchange has nobody to read the head.
             self._head.exception()
         self._parts.put_nowait(None)
 
 
 class Client:
-    """Opens exchanges over one pool of connections."""
+    """Opens exchanges over one connection pool."""
 
     def __init__(self) -> None:
         self._client = tornado.curl_httpclient.CurlAsyncHTTPClient(
@@ -187,7 +188,7 @@
         timeout: float = 5.0,
         reuse: bool = True,
     ) -> Answer:
-        """Return a whole answer within `timeout` seconds."""
+        """Return the complete response within `timeout` seconds."""
         exchange = self.open(method, url, body, headers, reuse)
         try:
             return await asyncio.wait_for(exchange.read_all(), timeout)
--- a/passpier/platform/__init__.py
+++ b/passpier/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: the only place that knows its paths, headers, keys and fields."""
+"""Platform adapter: the only package that knows the platform's paths, headers, keys and fields."""
--- a/passpier/platform/__main__.py
+++ b/passpier/platform/__main__.py
@@ -1,10 +1,12 @@
-"""Starts the router: makes signals safe first, then loads the rest, which takes a while.
+"""Entry point of the router: sets up signals, then imports the rest, which takes a while.
 
-The platform may tell at any moment that the settings have changed. Until that can be acted on it is
-ignored, as the settings are read after this; unhandled, the signal would end the process.
+The platform may send SIGHUP at any time to announce changed settings. The signal is ignored until
+its handler is installed, because its default action would terminate the process. Nothing is lost:
+the settings are read later.
 
-Libraries in native code may end the process at their load, by an invalid instruction or a bad
-address. What ran then is written to standard error; nothing else could tell.
+Native libraries may crash the process while they are imported, by an invalid instruction or an
+invalid address. `faulthandler` then writes the traceback to standard error; nothing else would
+report it.
 """
 
 from __future__ import annotations
@@ -18,5 +20,5 @@
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 if __name__ == '__main__':
-    # Not imported above, where it would be loaded before the signal is ignored.
+    # A top-level import would run before SIGHUP is ignored.
     importlib.import_module('passpier.platform.main').main()
--- a/passpier/platform/dialect.py
+++ b/passpier/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Requests, answers, reports and orders on the platform's wire, as the router's own types."""
+"""Translates the platform's requests, responses, reports and orders to the router's own types."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 T = TypeVar('T')
 
 ORDER_TIMEOUT = 0.4
-"""Seconds after which an order counts as unanswered; a replica takes it in milliseconds."""
+"""Timeout of an order in seconds; a replica accepts one within milliseconds."""
 
-MODE = 'keep'
-"""What becomes of running requests when weights change: they go on."""
+ORDER_MODE = 'keep'
+"""How a weight change treats running requests: they continue."""
 
-LOGGED_LENGTH = 40
-"""Characters of a header that cannot be read which a log line shows."""
+MAX_LOGGED_LENGTH = 40
+"""Maximum number of characters of an invalid header value in a log line."""
 
-_PROMISES = frozenset({408, 421, 429, 503})
-"""Statuses that promise a client that the request has not run and never will."""
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that guarantee to a client that the request did not run and never will."""
 
 
 class Requests:
@@ -41,7 +41,7 @@
     def read_request(
         self, start: tornado.httputil.RequestStartLine, headers: tornado.httputil.HTTPHeaders
     ) -> dialect.Ask:
-        """Return a client's request; raises `ValueError` saying what is wrong."""
+        """Parse a client's request; raise `ValueError` if it is invalid."""
         id = headers.get(names.REQUEST_ID, '')
         if not id:
             raise ValueError('the request has no id')
@@ -60,7 +60,7 @@
             host,
             start.path,
             _read_key(headers),
-            _read_patience(headers),
+            _read_deadline(headers),
             _read_prompt(headers, usage),
             headers.get(names.LAST_EVENT, ''),
             passed,
@@ -68,7 +68,7 @@
         )
 
     def write_request(self, ask: dialect.Ask, sending: dialect.Sending) -> exchanges.Headers:
-        """Return the headers of one attempt."""
+        """Return the request headers of one attempt."""
         added = {
             names.DEADLINE: str(max(1, int(sending.time_left * 1000))),
             names.EXPECT_INCARNATION: sending.incarnation,
@@ -83,32 +83,32 @@
         return [*ask.headers, *((n, v) for n, v in added.items() if v)]
 
     def judge(self, head: exchanges.Head) -> dialect.Verdict:
-        """Return what the head of an answer says."""
+        """Classify an upstream's response by its status and headers."""
         if head.status == 421:
             return dialect.Verdict.WRONG_UPSTREAM
         if head.get(names.NOT_RUN) is not None:
             return dialect.Verdict.NOT_RUN
-        if head.get('Content-Encoding') is not None or head.status in _PROMISES:
+        if head.get('Content-Encoding') is not None or head.status in _NOT_RUN_STATUSES:
             return dialect.Verdict.INVALID
         if 200 <= head.status < 300:
-            signed = head.get(names.STAMP) is not None
-            return dialect.Verdict.SUCCESS if signed else dialect.Verdict.INVALID
+            stamped = head.get(names.STAMP) is not None
+            return dialect.Verdict.SUCCESS if stamped else dialect.Verdict.INVALID
         return dialect.Verdict.FAILURE
 
     def read_version(self, head: exchanges.Head) -> str:
-        """Return the weight version that an answer was made with, or an empty string."""
+        """Return the weight version that produced a response, or an empty string."""
         return head.get(names.WEIGHT_VERSION) or ''
 
     def read_incarnation(self, head: exchanges.Head) -> str:
-        """Return which incarnation an upstream says that it is, or an empty string."""
+        """Return the incarnation that an upstream reports, or an empty string."""
         return head.get(names.INCARNATION) or ''
 
     def read_signal(self, head: exchanges.Head) -> backpressure.Signal:
-        """Return what a replica asks of its callers."""
+        """Return the backpressure signal of a replica's response."""
         return _read_signal(head)
 
     def clean_answer(self, headers: exchanges.Headers) -> list[tuple[str, str]]:
-        """Return the headers of an answer that travel on to the client."""
+        """Return the response headers that are forwarded to the client."""
         return [(n, v) for n, v in headers if n.lower() not in names.CONNECTION_HEADERS]
 
 
@@ -121,15 +121,15 @@
     own_prefix = names.OWN_PREFIX
 
     def decode_configuration(self, data: bytes) -> routes.Configuration:
-        """Return the operator's configuration."""
+        """Decode the operator's configuration."""
         return records.decode_configuration(data)
 
     def decode_replica(self, id: str, data: bytes) -> catalogue.Entry:
-        """Return a replica's entry."""
+        """Decode a replica's registry entry."""
         return records.decode_replica(id, data)
 
     def decode_named_version(self, data: bytes) -> tuple[str, int]:
-        """Return a model and its wanted weight version."""
+        """Decode a release of weights; return the model and the version."""
         return records.decode_named_version(data)
 
 
@@ -140,12 +140,12 @@
     ready_path = names.READY_PATH
 
     def read_query(self, request: tornado.httputil.HTTPServerRequest) -> dialect.Query:
-        """Return what a client says of itself."""
+        """Parse a client's lookup parameters."""
         values = {k: v[0].decode('utf-8', 'replace') for k, v in request.arguments.items()}
         return dialect.Query(values.get('region', ''), values.get('zone', ''))
 
     def render_entries(self, addresses: Sequence[str], ttl: float) -> dict[str, object]:
-        """Return the body of the answer."""
+        """Return the body of the response."""
         return {'addresses': list(addresses), 'ttl_s': ttl}
 
 
@@ -156,18 +156,18 @@
         self._pool = pool
 
     async def report(self, address: str, incarnation: str) -> dialect.Report:
-        """Return a replica's report; raises `ExchangeError`."""
+        """Fetch a replica's report; raise `ExchangeError` if that fails."""
         headers = [('Host', address), (names.EXPECT_INCARNATION, incarnation)]
         request = exchanges.Request('GET', names.REPORT_PATH, headers)
-        answer = await self._pool.fetch(address, request, dialect.ASK_TIMEOUT)
-        if answer.head.status in (400, 404, 405):
-            # Plain services have no report, but they live.
-            return dialect.Report({}, False, 0, 0, 0, signal=_read_signal(answer.head))
-        told = answer.head.get(names.INCARNATION)
-        if answer.head.status == 421 or (told is not None and told != incarnation):
+        response = await self._pool.fetch(address, request, dialect.ASK_TIMEOUT)
+        if response.head.status in (400, 404, 405):
+            # Replicas of plain services have no report; any response shows that they are alive.
+            return dialect.Report({}, False, 0, 0, 0, signal=_read_signal(response.head))
+        reported = response.head.get(names.INCARNATION)
+        if response.head.status == 421 or (reported is not None and reported != incarnation):
             text = f'{incarnation} is no longer at {address}'
             raise exchanges.ExchangeError(exchanges.Fault.REPLACED, text, True)
-        raw = _decode_answer(answer, records.decode_report)
+        raw = _decode_response(response, records.decode_report)
         versions = {m.name: m.version for m in raw.models}
         return dialect.Report(
             versions,
@@ -176,32 +176,32 @@
             raw.active,
             raw.queued,
             raw.born,
-            _read_signal(answer.head),
+            _read_signal(response.head),
         )
 
     async def read_cache_changes(
         self, address: str, since: int, wait: float
     ) -> dialect.CacheChanges:
-        """Return a cache's events from number `since`; raises `ExchangeError`."""
+        """Fetch a cache's events from number `since` on; raise `ExchangeError` if that fails."""
         headers = [('Host', address), (names.WAIT, str(int(wait * 1000)))]
         target = f'{names.CACHE_EVENTS_PATH}?since={since}'
         request = exchanges.Request('GET', target, headers)
-        answer = await self._pool.fetch(address, request, wait + dialect.ASK_TIMEOUT)
-        raw = _decode_answer(answer, records.decode_cache_events)
+        response = await self._pool.fetch(address, request, wait + dialect.ASK_TIMEOUT)
+        raw = _decode_response(response, records.decode_cache_events)
         changes = tuple(
-            # What is left of a part that was dropped in part is of no use without the rest.
+            # A partial eviction counts as a removal: what remains of the segment is unusable.
             dialect.CacheChange(event.sign == '+', event.salt, event.part)
             for event in raw.events
         )
         return dialect.CacheChanges(raw.boot_epoch, raw.next_token, raw.lost, changes)
 
     async def order(self, address: str, order: dialect.WeightOrder) -> dialect.OrderResult:
-        """Give an order."""
+        """Order a replica to load weights."""
         body = {
             'op': 'version',
             'model': order.model,
             'version': order.version,
-            'mode': MODE,
+            'mode': ORDER_MODE,
             'holder': order.holder,
             'fencing_token': order.token,
             'expected_revision': order.expected_orders,
@@ -214,11 +214,11 @@
         data = msgspec.json.encode(body)
         request = exchanges.Request('POST', names.ORDER_PATH, headers, data, once=True)
         try:
-            answer = await self._pool.fetch(address, request, ORDER_TIMEOUT)
+            response = await self._pool.fetch(address, request, ORDER_TIMEOUT)
         except exchanges.ExchangeError as error:
-            log.warning('order without answer', extra={'upstream': address, 'error': str(error)})
+            log.warning('order not answered', extra={'upstream': address, 'error': str(error)})
             return dialect.OrderResult.UNKNOWN
-        return _ORDER_RESULTS.get(answer.head.status, dialect.OrderResult.REFUSED)
+        return _ORDER_RESULTS.get(response.head.status, dialect.OrderResult.REFUSED)
 
 
 _ORDER_RESULTS = {
@@ -229,15 +229,15 @@
 }
 
 
-def _decode_answer(answer: exchanges.Answer, decode: Callable[[bytes], T]) -> T:
-    """Return what a replica's answer says; raises `ExchangeError` if it says nothing."""
-    if answer.head.status != 200:
-        text = f'answered with status {answer.head.status}'
-        raise exchanges.ExchangeError(exchanges.Fault.GARBLED, text, True)
+def _decode_response(response: exchanges.Answer, decode: Callable[[bytes], T]) -> T:
+    """Decode the body of a replica's response; raise `ExchangeError` if it is not usable."""
+    if response.head.status != 200:
+        text = f'unexpected status {response.head.status}'
+        raise exchanges.ExchangeError(exchanges.Fault.MALFORMED, text, True)
     try:
-        return decode(answer.body)
+        return decode(response.body)
     except exceptions.StoreError as error:
-        raise exchanges.ExchangeError(exchanges.Fault.GARBLED, str(error), True) from error
+        raise exchanges.ExchangeError(exchanges.Fault.MALFORMED, str(error), True) from error
 
 
 def _read_key(headers: tornado.httputil.HTTPHeaders) -> str | None:
@@ -247,7 +247,7 @@
     return value[len(names.KEY_SCHEME) :] if value.startswith(names.KEY_SCHEME) else ''
 
 
-def _read_patience(headers: tornado.httputil.HTTPHeaders) -> float | None:
+def _read_deadline(headers: tornado.httputil.HTTPHeaders) -> float | None:
     value = headers.get(names.DEADLINE)
     if value is None:
         return None
@@ -264,7 +264,7 @@
 
 
 def _read_amount(head: exchanges.Head, name: str) -> float | None:
-    """Return the number in a header; none if there is no such number."""
+    """Return the non-negative number in a header, or none if it is missing or invalid."""
     value = head.get(name)
     if value is None:
         return None
@@ -274,17 +274,17 @@
         amount = math.nan
     if math.isfinite(amount) and amount >= 0:
         return amount
-    log.warning('header not understood', extra={'header': name, 'value': value[:LOGGED_LENGTH]})
+    log.warning('invalid header value', extra={'header': name, 'value': value[:MAX_LOGGED_LENGTH]})
     return None
 
 
 def _read_usage(headers: tornado.httputil.HTTPHeaders) -> tuple[int, int] | None:
-    """Return the tokens of the prompt and the most of the answer, if the client states them."""
+    """Return the prompt tokens and the maximum completion tokens, if the client declares them."""
     value = headers.get(names.TOKENS)
     if value is None:
         return None
-    read, _, made = value.partition(',')
-    usage = int(read), int(made or 0)
+    prompt_tokens, _, completion_tokens = value.partition(',')
+    usage = int(prompt_tokens), int(completion_tokens or 0)
     if sum(usage) < 0:
         raise ValueError('the tokens are no count')
     return usage
--- a/passpier/platform/main.py
+++ b/passpier/platform/main.py
@@ -1,4 +1,4 @@
-"""Starts the router on the platform."""
+"""Starts the router with the platform adapter."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from passpier.clients import connections
 from passpier.core import buckets
 from passpier.daemon import logs
-from passpier.platform import dialect as wire
+from passpier.platform import dialect as platform_dialect
 from passpier.platform import names, settings, store
 from passpier.routing import dialect, router
 
@@ -25,28 +25,30 @@
 EXIT_SETTINGS = 2
 METRICS_VARIABLE = 'PASSPIER_METRICS_PORT'
 METRICS_PORT = 9464
-"""Port of the metrics page, as the deploy file tells it."""
+"""Default port of the metrics endpoint; the deployment files name the same one."""
 
 LEVEL_VARIABLE = 'PASSPIER_LOG_LEVEL'
 LEVELS = ('debug', 'info', 'warning', 'error')
 
 ANSWER_TTL = 1.0
-"""Seconds for which clients may keep an answer of the directory; some keep it three times that, and
-a stopping process takes requests for as long."""
+"""Seconds for which clients may cache a response of the directory. Some clients cache it for three
+times as long, so a stopping process accepts requests for that time."""
 
 LEASE_TTL = 1.5
-"""Seconds of the lease behind the right to give orders; a successor waits for its end."""
+"""Seconds of the lease that the holder of the right to give orders keeps; a successor has to wait
+until it expires."""
 
-STOP_SHARE = 0.88
-"""Part of the time before a kill that requests in a planned stop may take. The rest is for the last
-answers, the registry, the last messages and the end of the interpreter."""
+DRAIN_FRACTION = 0.88
+"""Fraction of the grace period before SIGKILL in which requests may finish during a planned stop.
+The rest is for the last responses, deregistration, the last messages to peers and the exit of the
+interpreter."""
 
-SETTINGS_CHECK = 1.0
-"""Seconds between looks at whether the settings file has changed."""
+SETTINGS_CHECK_INTERVAL = 1.0
+"""Seconds between checks whether the settings file has changed."""
 
 
 def read_environment(environment: Mapping[str, str]) -> tuple[int, str]:
-    """Return the metrics port and the log level; raises `FindingsError` with all findings."""
+    """Return the metrics port and the log level; raise `FindingsError` with all findings."""
     findings = []
     port = environment.get(METRICS_VARIABLE, str(METRICS_PORT))
     if not port.isdigit() or not 0 < int(port) < 65536:
@@ -59,26 +61,26 @@
     return int(port), level
 
 
-def build_options(read: settings.Settings, metrics_port: int = METRICS_PORT) -> dialect.Options:
-    """Return what the router needs of the settings."""
-    bounds = read.bounds
+def build_options(loaded: settings.Settings, metrics_port: int = METRICS_PORT) -> dialect.Options:
+    """Convert the settings to the router's options."""
+    bounds = loaded.bounds
     return dialect.Options(
-        name=read.node_name,
-        ip=read.ip,
-        failure_domain=read.zone,
-        region=read.region,
-        capacity=read.limits.cpu_quota * read.limits.cores,
-        caller=read.listen.frontend,
-        ready=read.listen.ready,
-        directory=read.listen.directory,
-        peer_port=read.internal_ports[0],
+        name=loaded.node_name,
+        ip=loaded.ip,
+        failure_domain=loaded.zone,
+        region=loaded.region,
+        capacity=loaded.limits.cpu_quota * loaded.limits.cores,
+        caller=loaded.listen.frontend,
+        ready=loaded.listen.ready,
+        directory=loaded.listen.directory,
+        peer_port=loaded.internal_ports[0],
         key_bound=bounds.revoke_ms / 1000,
         keys_expire=bounds.revoke_fail_closed,
-        stop_bound=bounds.grace_s * STOP_SHARE,
+        stop_bound=bounds.grace_s * DRAIN_FRACTION,
         answer_ttl=min(ANSWER_TTL, bounds.ttl_max_s),
         order_hold=bounds.lease_ms / 1000,
         version_bound=bounds.version_ms / 1000,
-        lease_ttl=max(LEASE_TTL, read.platform.ttl_min_ms / 1000),
+        lease_ttl=max(LEASE_TTL, loaded.platform.ttl_min_ms / 1000),
         retry_ratio=bounds.retry_budget_ratio,
         retry_slack=bounds.retry_budget_slack,
         retry_window=bounds.budget_window_s,
@@ -89,39 +91,39 @@
     )
 
 
-async def run(path: str, stamp: int, read: settings.Settings, metrics_port: int) -> None:
-    """Serve until a planned stop is done; `stamp` is that of the settings that were read."""
+async def run(path: str, mtime: int, loaded: settings.Settings, metrics_port: int) -> None:
+    """Serve until a planned stop is complete; `mtime` is that of the loaded settings file."""
     pool = connections.Pool()
     adapter = router.Adapter(
-        wire.Requests(),
-        wire.Records(),
-        wire.Directory(),
-        wire.Engines(pool),
-        store.Store(read.platform.address, pool),
+        platform_dialect.Requests(),
+        platform_dialect.Records(),
+        platform_dialect.Directory(),
+        platform_dialect.Engines(pool),
+        store.Store(loaded.platform.address, pool),
         pool,
     )
-    process = router.Router(build_options(read, metrics_port), adapter, random.Random())
+    process = router.Router(build_options(loaded, metrics_port), adapter, random.Random())
     loop = asyncio.get_running_loop()
-    signal.signal(signal.SIGTERM, functools.partial(_note_stop, loop, process))
-    loop.add_signal_handler(signal.SIGINT, _interrupt, process)
-    loop.add_signal_handler(signal.SIGHUP, _reload, path, process)
-    watching = asyncio.ensure_future(_watch_file(path, stamp, process))
+    signal.signal(signal.SIGTERM, functools.partial(_handle_sigterm, loop, process))
+    loop.add_signal_handler(signal.SIGINT, _handle_sigint, process)
+    loop.add_signal_handler(signal.SIGHUP, _reload_settings, path, process)
+    watcher = asyncio.ensure_future(_watch_file(path, mtime, process))
     await process.run()
-    # It ends of its own accord, with nothing left to do.
+    # The stop is complete: a late SIGTERM must not terminate the process with an error.
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
-    watching.cancel()
+    watcher.cancel()
 
 
-def _note_stop(
+def _handle_sigterm(
     loop: asyncio.AbstractEventLoop, process: router.Router, number: int, frame: object
 ) -> None:
-    """Have the process stop; called before the event loop's next turn."""
+    """Begin a planned stop; runs before the next iteration of the event loop."""
     if not loop.is_closed():
         loop.call_soon_threadsafe(process.begin_stop, process.turned_at)
 
 
-def _interrupt(process: router.Router) -> None:
-    """Stop as planned at the first interrupt of a person at the terminal, at once at the second."""
+def _handle_sigint(process: router.Router) -> None:
+    """Begin a planned stop at the first Ctrl+C, and stop immediately at the second."""
     if process.stopping:
         process.force_stop()
     else:
@@ -130,40 +132,40 @@
 
 async def _watch_file(path: str, seen: int, process: router.Router) -> None:
     while True:
-        await asyncio.sleep(SETTINGS_CHECK)
-        stamp = _read_stamp(path)
-        if stamp != seen:
-            seen = stamp
-            _reload(path, process)
+        await asyncio.sleep(SETTINGS_CHECK_INTERVAL)
+        mtime = _read_mtime(path)
+        if mtime != seen:
+            seen = mtime
+            _reload_settings(path, process)
 
 
-def _read_stamp(path: str) -> int:
+def _read_mtime(path: str) -> int:
     try:
         return pathlib.Path(path).stat().st_mtime_ns
     except OSError:
-        # A file that is being replaced is looked at again the next time.
+        # The file may be in the middle of being replaced; the next check reads it again.
         return 0
 
 
-def _reload(path: str, process: router.Router) -> None:
+def _reload_settings(path: str, process: router.Router) -> None:
     try:
         process.reload(build_options(settings.load_settings(path)))
     except exceptions.FindingsError as error:
         for finding in error.findings:
-            log.error('settings not taken over', extra={'finding': str(finding)})
+            log.error('settings reload failed', extra={'finding': str(finding)})
 
 
 def main() -> None:
-    """Run the router; exits with 2 if the settings are wrong."""
+    """Run the router; exit with status 2 if the settings are invalid."""
     path = os.environ.get(names.SETTINGS_VARIABLE, '/etc/passpier/settings.toml')
     try:
         metrics_port, level = read_environment(os.environ)
-        # Before the file is read: what changes from here on is noticed.
-        stamp = _read_stamp(path)
-        read = settings.load_settings(path)
+        # Taken before the file is read, so that every later change is detected.
+        mtime = _read_mtime(path)
+        loaded = settings.load_settings(path)
     except exceptions.FindingsError as error:
         for finding in error.findings:
             print(f'passpier: {finding}', file=sys.stderr)
         sys.exit(EXIT_SETTINGS)
-    logs.configure_logging(level, 'json', read.node_name, sys.stdout)
-    clocks.run(run(path, stamp, read, metrics_port))
+    logs.configure_logging(level, 'json', loaded.node_name, sys.stdout)
+    clocks.run(run(path, mtime, loaded, metrics_port))
--- a/passpier/platform/names.py
+++ b/passpier/platform/names.py
@@ -1,4 +1,4 @@
-"""Names on the wire of the platform."""
+"""Headers, paths and store keys of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 REQUEST_ID = 'X-Passpier-Request-Id'
 DEADLINE = 'X-Passpier-Deadline-Ms'
-"""Milliseconds that the client still waits."""
+"""Milliseconds for which the client still waits for the response."""
 
 MODEL = 'X-Passpier-Model'
 TOKENS = 'X-Passpier-Token-Usage'
-"""Tokens of the prompt and most tokens of the answer, separated by a comma."""
+"""Prompt tokens and maximum completion tokens, separated by a comma."""
 
 PARTS = 'X-Passpier-Prefix-Hash'
-"""The parts of the prompt in order, ID:TOKENS separated by commas."""
+"""Segments of the prompt in order: a comma-separated list of `ID:TOKENS`."""
 
 LAST_EVENT = 'Last-Event-Id'
 ACCOUNT = 'X-Passpier-Tenant'
@@ -25,14 +25,14 @@
 CACHE_SOURCE = 'X-Passpier-Kv-Source'
 CACHE_TARGET = 'X-Passpier-Kv-Target'
 STAMP = 'X-Passpier-Server-Stamp'
-"""The upstream's signature under its answer."""
+"""Signature of the upstream that produced the response."""
 
 NOT_RUN = 'X-Passpier-Not-Executed'
 LEAVING = 'Server-Leaving'
-"""`1` in all answers of a replica that is about to end."""
+"""`1` in every response of a replica that is about to shut down."""
 
 LIMIT = 'Server-Limit'
-"""Requests a second that a replica takes from all VMs together."""
+"""Requests per second that a replica accepts from all VMs together."""
 
 WEIGHT_VERSION = 'X-Passpier-Weight-Versions'
 KEY = 'Authorization'
@@ -56,7 +56,7 @@
         DEADLINE,
     )
 )
-"""Request headers whose copies by clients are dropped."""
+"""Request headers that only the router sets; values sent by clients are dropped."""
 
 CONNECTION_HEADERS = frozenset(
     {
@@ -73,7 +73,7 @@
         'expect',
     }
 )
-"""Headers that concern one connection only, and those that framing sets anew."""
+"""Hop-by-hop headers, and those that message framing sets again on each hop."""
 
 RESOLVE_PATH = '/resolve'
 READY_PATH = '/readyz'
@@ -86,4 +86,4 @@
 VERSION_PREFIX = 'op/version/'
 REPLICA_PREFIX = 'servers/'
 OWN_PREFIX = 'passpier/'
-"""Prefix of this project's own keys."""
+"""Prefix of the keys that passpier itself writes."""
--- a/passpier/platform/records.py
+++ b/passpier/platform/records.py
@@ -1,4 +1,4 @@
-"""Decodes the records of the platform's store: configuration, replicas, named weight versions."""
+"""Decodes the platform's records: configuration, replicas, releases of weights, reports."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 log = logging.getLogger(__name__)
 
-MOST_SLOTS = 10_000
-"""Requests at once beyond which an entry is wrong: replicas have tens to hundreds, and one that
-seemed to have room without end would draw every request."""
+MAX_SLOTS = 10_000
+"""Largest plausible number of concurrent requests in a replica's entry. Replicas have tens to
+hundreds; one that seemed to have unlimited capacity would attract every request."""
 
-ADDRESS_SHOWN = 40
-"""Characters of a wrong address that an error shows."""
+MAX_LOGGED_ADDRESS = 40
+"""Maximum number of characters of an invalid address in an error message."""
 
-MOST_COUNTED = 2**63 - 1
-"""Largest whole number that is taken for a version, a count or a time."""
+MAX_INTEGER = 2**63 - 1
+"""Largest integer that is accepted as a version, a count or a time."""
 
-_Count = Annotated[int, msgspec.Meta(ge=0, le=MOST_COUNTED)]
-_Slots = Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+_Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
+_Slots = Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
 _Name = Annotated[str, msgspec.Meta(min_length=1)]
 
 _KINDS = {
@@ -71,7 +71,7 @@
     max_connections: int = 100
     engine: _Engine | None = None
     kv_store_address: str = ''
-    """Set for a store of KV cache, which is in no route."""
+    """Set if the service is a KV cache store, which no route refers to."""
 
     zone: str = ''
     kv_capacity: int = 0
@@ -83,14 +83,14 @@
     priority: int | None = None
     isolated: bool = False
     rate_per_s: float = 0
-    """Units a second; 0: no limit."""
+    """Units per second; 0 means no limit."""
 
     burst: float = 0
-    """Units beside that."""
+    """Units that may be spent beyond the rate."""
 
     unit: str = 'requests'
     uncached_tokens: int = 1
-    """What a request counts that does not tell its tokens, where `unit` is `tokens`."""
+    """Cost of a request that does not declare its tokens, if `unit` is `tokens`."""
 
 
 class _Limits(msgspec.Struct):
@@ -107,46 +107,50 @@
 
 class _WeightVersion(msgspec.Struct):
     name: str
-    """Empty in the report of a replica that has no model."""
+    """Empty in the report of a replica without a model."""
 
     version: _Count
 
 
-class _Server(msgspec.Struct):
-    """An entry; who leaves out what each replica tells is no replica."""
+class _ReplicaEntry(msgspec.Struct):
+    """A replica's registry entry.
+
+    The fields without a default are in the entry of every replica; an entry that lacks one was
+    written by something else.
+    """
 
     service: _Name
     address: str
     zone: str
     version: str
-    """Of the replica's software."""
+    """Version of the replica's software."""
 
     slots: _Slots
     state: Literal['ready', 'draining']
     sequence: _Count
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)]
-    """How much longer it is slow from its start."""
+    """Remaining milliseconds of the replica's slow start."""
 
     models: list[_WeightVersion] | msgspec.UnsetType = msgspec.UNSET
     born: _Count | msgspec.UnsetType = msgspec.UNSET
-    """Unix milliseconds of the start; replicas of older software do not tell it."""
+    """Start time of the process in Unix milliseconds; older replica software does not report it."""
 
 
-class _Named(msgspec.Struct):
+class _Release(msgspec.Struct):
     model: _Name
-    version: Annotated[int, msgspec.Meta(ge=1, le=MOST_COUNTED)]
+    version: Annotated[int, msgspec.Meta(ge=1, le=MAX_INTEGER)]
 
 
 class _Report(msgspec.Struct):
-    """A replica's own state, some hundred milliseconds old."""
+    """A replica's state as it reports it; some hundred milliseconds old."""
 
     models: list[_WeightVersion] = []
     born: _Count | None = None
     utilization: bool = False
-    """Whether an order is being carried out; the name on the wire says otherwise."""
+    """Whether the replica is carrying out an order, despite the field's name on the wire."""
 
     sequence: _Count = 0
-    """Orders taken so far."""
+    """Number of orders accepted so far."""
 
     queued: _Count = 0
     active: _Count = 0
@@ -155,17 +159,17 @@
 class _CacheEvent(msgspec.Struct, array_like=True):
     number: _Count
     sign: Literal['+', '-']
-    """`-` if the part, or some of it, was dropped."""
+    """`-` if the prompt segment was evicted, as a whole or in part."""
 
     salt: str
     part: str
     kept: _Count
-    """Tokens of the part that are kept now."""
+    """Tokens of the segment that are now cached."""
 
     model: str
 
 
-class _CacheAnswer(msgspec.Struct):
+class _CacheResponse(msgspec.Struct):
     boot_epoch: _Count
     next_token: _Count
     events: list[msgspec.Raw] = []
@@ -173,17 +177,17 @@
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """Events of a cache in one life of it, up to that before `next_token`."""
+    """Events of a cache since `boot_epoch`, up to the one before `next_token`."""
 
     boot_epoch: int
     next_token: int
     events: tuple[_CacheEvent, ...]
     lost: bool
-    """Whether events are missing: the cache did not keep them, or they could not be read."""
+    """Whether events are missing: the cache no longer has them, or they could not be decoded."""
 
 
 def decode_configuration(data: bytes) -> routes.Configuration:
-    """Return an operator's configuration; raises `StoreError` if it is not understood."""
+    """Decode the operator's configuration; raise `StoreError` if it is invalid."""
     raw = decode(data, _Configuration)
     services = {s.name: _convert_service(s) for s in raw.services if not s.kv_store_address}
     stores = tuple(
@@ -204,8 +208,8 @@
 
 
 def decode_replica(id: str, data: bytes) -> catalogue.Entry:
-    """Return a replica's entry; raises `StoreError` if it is not understood."""
-    raw = decode(data, _Server)
+    """Decode a replica's entry; raise `StoreError` if it is invalid."""
+    raw = decode(data, _ReplicaEntry)
     _check_address(raw.address)
     return catalogue.Entry(
         id,
@@ -222,42 +226,42 @@
 
 
 def decode_named_version(data: bytes) -> tuple[str, int]:
-    """Return a model and the weight version that is wanted."""
-    raw = decode(data, _Named)
+    """Decode a release of weights; return the model and the version."""
+    raw = decode(data, _Release)
     return raw.model, raw.version
 
 
 def decode_report(data: bytes) -> _Report:
-    """Return a replica's report."""
+    """Decode a replica's report."""
     return decode(data, _Report)
 
 
 def decode_cache_events(data: bytes) -> CacheEvents:
-    """Return the events of a replica's or store's cache, without those that cannot be read.
+    """Decode the events of a replica's or store's cache, and skip the invalid ones.
 
-    Asking again would bring the same ones again.
+    Fetching them again would return the same invalid events.
     """
-    raw = decode(data, _CacheAnswer)
+    raw = decode(data, _CacheResponse)
     events = []
     for item in raw.events:
         try:
             events.append(decode(bytes(item), _CacheEvent))
         except exceptions.StoreError as error:
-            log.info('cache event refused', extra={'error': str(error), 'next': raw.next_token})
+            log.info('invalid cache event', extra={'error': str(error), 'next': raw.next_token})
     lost = raw.lost or len(events) < len(raw.events)
     return CacheEvents(raw.boot_epoch, raw.next_token, tuple(events), lost)
 
 
 def _check_address(address: str) -> None:
-    """Raise `StoreError` if nobody can be reached at an address: IPv4, a colon, a port."""
+    """Raise `StoreError` if an address is not a reachable `IPv4:port`."""
     host, _, port = address.rpartition(':')
     try:
         ip = ipaddress.IPv4Address(host)
     except ValueError as error:
-        raise exceptions.StoreError(f'no address: {address[:ADDRESS_SHOWN]!r}') from error
+        raise exceptions.StoreError(f'invalid address: {address[:MAX_LOGGED_ADDRESS]!r}') from error
     is_port = port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65536
     if not is_port or ip.is_unspecified or ip.is_multicast:
-        raise exceptions.StoreError(f'no address: {address[:ADDRESS_SHOWN]!r}')
+        raise exceptions.StoreError(f'invalid address: {address[:MAX_LOGGED_ADDRESS]!r}')
 
 
 def _convert_route(raw: _Route) -> routes.Route:
@@ -302,8 +306,8 @@
 
 
 def decode(data: bytes, kind: Any) -> Any:
-    """Return JSON of the platform as `kind`; raises `StoreError` if it is not understood."""
+    """Decode JSON of the platform as `kind`; raise `StoreError` if it is invalid."""
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise exceptions.StoreError(f'not understood: {error}') from error
+        raise exceptions.StoreError(f'invalid record: {error}') from error
--- a/passpier/platform/settings.py
+++ b/passpier/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of the platform: read, checked, with all findings at once."""
+"""Loads and validates the platform's settings file; reports all findings at once."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Listen(msgspec.Struct, frozen=True):
-    """Addresses of this process."""
+    """Addresses on which this process listens."""
 
     frontend: Address
     ready: Address
@@ -30,7 +30,7 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Figures of the platform's rules, in the units that their names end in."""
+    """Time bounds and limits set by the platform; each name ends with its unit."""
 
     grace_s: float = 8
     revoke_fail_closed: bool = True
@@ -47,21 +47,21 @@
 
 
 class Platform(msgspec.Struct, frozen=True):
-    """The store."""
+    """The platform's store."""
 
     address: Address
     ttl_min_ms: float = 1000
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the VM gives: a share of a core that runs `cores` times as fast."""
+    """Processor limits of the VM: a quota of a core that is `cores` times as fast as usual."""
 
     cpu_quota: float = 1.0
     cores: float = 1.0
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """What passpier uses of the file; fields that it does not know are skipped."""
+    """The part of the settings file that passpier uses; unknown fields are ignored."""
 
     node_name: Annotated[str, msgspec.Meta(min_length=1)]
     ip: Ip
@@ -75,40 +75,40 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Return the settings of a file; raises `FindingsError` with all findings."""
+    """Load the settings from a file; raise `FindingsError` with all findings."""
     try:
         raw = tomllib.loads(pathlib.Path(path).read_text())
     except (OSError, ValueError) as error:
         raise exceptions.FindingsError([exceptions.Finding(path, str(error))]) from error
     findings: list[exceptions.Finding] = []
-    read = _read_section(Settings, raw, f'{path}: ', findings)
-    if read is None:
+    loaded = _read_section(Settings, raw, f'{path}: ', findings)
+    if loaded is None:
         raise exceptions.FindingsError(findings)
-    return read
+    return loaded
 
 
 def _read_section(
-    section: type[_Section], raw: dict[str, Any], place: str, findings: list[exceptions.Finding]
+    section: type[_Section], raw: dict[str, Any], location: str, findings: list[exceptions.Finding]
 ) -> _Section | None:
-    """Return a checked section, or none after adding a finding for each of its faults."""
-    found = len(findings)
+    """Return a validated section, or none after adding a finding for each of its errors."""
+    findings_before = len(findings)
     hints = get_type_hints(section, include_extras=True)
     values: dict[str, Any] = {}
     for field in msgspec.structs.fields(section):
         name = field.name
         if name not in raw:
             if field.required:
-                findings.append(exceptions.Finding(place + name, 'is missing'))
+                findings.append(exceptions.Finding(location + name, 'is missing'))
             continue
-        values[name] = _read_value(hints[name], raw[name], place + name, findings)
-    return section(**values) if len(findings) == found else None
+        values[name] = _read_value(hints[name], raw[name], location + name, findings)
+    return section(**values) if len(findings) == findings_before else None
 
 
 def _read_value(
-    expected: Any, value: Any, place: str, findings: list[exceptions.Finding]
+    expected: Any, value: Any, location: str, findings: list[exceptions.Finding]
 ) -> object:
     if isinstance(value, dict) and _is_section(expected):
-        return _read_section(expected, value, f'{place}.', findings)
+        return _read_section(expected, value, f'{location}.', findings)
     try:
         converted = msgspec.convert(value, expected)
         if expected is Address:
@@ -116,7 +116,7 @@
         elif expected is Ip:
             addresses.check_address(f'{converted}:1')
     except ValueError as error:
-        findings.append(exceptions.Finding(place, str(error)))
+        findings.append(exceptions.Finding(location, str(error)))
         return None
     return converted
 
--- a/passpier/platform/store.py
+++ b/passpier/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's metadata store, as a `Registry`."""
+"""Client of the platform's metadata store; implements `registry.Registry`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 log = logging.getLogger(__name__)
 
 CALL_TIMEOUT = 1.0
-"""Seconds for a call; the store answers in milliseconds, slowed ones in a quarter of a second."""
+"""Timeout of a call in seconds; the store responds within milliseconds, and a slow one within a
+quarter of a second."""
 
 
 class _Item(msgspec.Struct):
@@ -29,27 +30,27 @@
     removed: bool = False
 
 
-class _Range(msgspec.Struct):
+class _RangeResponse(msgspec.Struct):
     items: list[_Item]
     store_revision: int
     truncated: bool = False
 
 
-class _Watch(msgspec.Struct):
+class _WatchResponse(msgspec.Struct):
     events: list[_Item]
     store_revision: int
 
 
-class _Written(msgspec.Struct):
+class _TransactionResponse(msgspec.Struct):
     revision: int
 
 
-class _Lease(msgspec.Struct):
+class _LeaseResponse(msgspec.Struct):
     lease: int
 
 
 class Store:
-    """Speaks to the store over kept connections."""
+    """Calls the store over pooled connections."""
 
     def __init__(self, address: str, pool: connections.Pool) -> None:
         self.address = address
@@ -65,8 +66,9 @@
             query = {'path_prefix': prefix}
             if after:
                 query['after'] = after
-            page = records.decode(await self._call('GET', '/kv-range', query), _Range)
-            # The pages are no snapshot: what changed since the first one comes by the watch.
+            page = records.decode(await self._call('GET', '/kv-range', query), _RangeResponse)
+            # The pages are not a consistent snapshot. The revision is that of the first page, so
+            # that a watch from there delivers whatever changed while the others were read.
             revision = page.store_revision if revision is None else revision
             for item in page.items:
                 items[item.private_key] = _convert(item)
@@ -75,32 +77,34 @@
             after = page.items[-1].private_key
 
     async def watch(self, prefix: str, after: int, wait: float) -> registry.Changes:
-        """Return the changes behind a revision, at the latest after `wait` seconds."""
+        """Return the changes after a revision, after at most `wait` seconds."""
         sent_at = clocks.now()
         query = {'path_prefix': prefix, 'after': str(after), 'wait_ms': str(int(wait * 1000))}
-        answer = await self._call('GET', '/kv-watch', query, timeout=wait + CALL_TIMEOUT)
-        told = records.decode(answer, _Watch)
-        items = tuple(_convert(i) for i in told.events)
-        return registry.Changes(items, told.store_revision, sent_at, clocks.now())
+        response = await self._call('GET', '/kv-watch', query, timeout=wait + CALL_TIMEOUT)
+        watched = records.decode(response, _WatchResponse)
+        items = tuple(_convert(i) for i in watched.events)
+        return registry.Changes(items, watched.store_revision, sent_at, clocks.now())
 
     async def write(
         self, puts: Sequence[registry.Put], conditions: Sequence[registry.IsAt] = ()
     ) -> int:
-        """Carry out all writes and return their revision."""
+        """Apply all writes in one transaction and return its revision."""
         body = _render_transaction(puts, conditions)
-        return records.decode(await self._call('POST', '/kv-txn', body=body), _Written).revision
+        return records.decode(
+            await self._call('POST', '/kv-txn', body=body), _TransactionResponse
+        ).revision
 
     async def grant(self, ttl: float) -> int:
-        """Return a new lease of `ttl` seconds."""
-        answer = await self._call('POST', '/kv-lease', body={'ttl_ms': int(ttl * 1000)})
-        return records.decode(answer, _Lease).lease
+        """Grant a lease of `ttl` seconds and return its id."""
+        response = await self._call('POST', '/kv-lease', body={'ttl_ms': int(ttl * 1000)})
+        return records.decode(response, _LeaseResponse).lease
 
     async def renew(self, lease: int) -> None:
         """Renew a lease."""
         await self._call('POST', f'/kv-keep/{lease}', body={})
 
     async def end(self, lease: int) -> None:
-        """End a lease."""
+        """Revoke a lease."""
         await self._call('DELETE', f'/kv-lease-end/{lease}')
 
     async def _call(
@@ -116,12 +120,12 @@
         data = msgspec.json.encode(body) if body is not None else b''
         request = exchanges.Request(method, target, headers, data)
         try:
-            answer = await self._pool.fetch(self.address, request, timeout)
+            response = await self._pool.fetch(self.address, request, timeout)
         except exchanges.ExchangeError as error:
             raise exceptions.StoreError(f'{method} {path}: {error}') from error
-        status = answer.head.status
+        status = response.head.status
         if status == 200:
-            return answer.body
+            return response.body
         text = f'{method} {path}: status {status}'
         if status == 410:
             raise registry.HistoryGoneError(text)
@@ -153,5 +157,5 @@
     try:
         data = base64.b64decode(item.value)
     except binascii.Error as error:
-        raise exceptions.StoreError(f'{item.private_key}: value is no base64: {error}') from error
+        raise exceptions.StoreError(f'{item.private_key}: invalid base64: {error}') from error
     return registry.Item(item.private_key, data, item.revision, item.lease, item.removed)
--- a/passpier/tests/clients/exchanges_tests.py
+++ b/passpier/tests/clients/exchanges_tests.py
@@ -242,7 +242,7 @@
 
 
 def test_a_long_rest_is_not_trusted_with_what_runs_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connections, 'ONCE_IDLE', 0.0)
+    monkeypatch.setattr(connections, 'ONCE_IDLE_LIMIT', 0.0)
 
     async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -362,7 +362,7 @@
         await reader.readuntil(b'\r\n\r\n')
         writer.write(answer('1'))
         await reader.readuntil(b'\r\n\r\n')
-        await asyncio.sleep(connections.FORGOTTEN_WITHIN * 3)
+        await asyncio.sleep(connections.STALE_RESET_WINDOW * 3)
         reset(writer)
 
     async def run() -> None:
--- a/passpier/tests/platform/lives_tests.py
+++ b/passpier/tests/platform/lives_tests.py
@@ -178,7 +178,7 @@
     async def check(running: deployment.Deployment) -> None:
         known = running.routers[0]
         reborn = running.replicas['app-0']
-        resting = known.adapter.pool._resting
+        resting = known.adapter.pool._idle
         while not resting.get(reborn.address):
             assert (await running.ask('/once/x')).status == 200
             await asyncio.sleep(0.01)
--- a/passpier/tests/platform/settings_tests.py
+++ b/passpier/tests/platform/settings_tests.py
@@ -130,7 +130,7 @@
     loop = asyncio.new_event_loop()
     loop.close()
     process = mock.create_autospec(router.Router, instance=True)
-    main._note_stop(loop, process, signal.SIGTERM, None)
+    main._handle_sigterm(loop, process, signal.SIGTERM, None)
 
 
 @pytest.mark.parametrize('number', [signal.SIGILL, signal.SIGSEGV, signal.SIGABRT])
--- a/passpier/tests/platform/silence_tests.py
+++ b/passpier/tests/platform/silence_tests.py
@@ -162,7 +162,7 @@
         others = [c for c in list_resting(pool) if c.address != address]
         assert others
         # Silent since long before: what answers there now was started again.
-        pool.note_silent(address, clocks.now() - 2 * connections.SILENCE_MEMORY)
+        pool.note_silent(address, clocks.now() - 2 * connections.UNRESPONSIVE_MEMORY)
         await running.routers[0].adapter.engines.report(address, 'app-0')
         assert not [c for c in others if c.closed]
         pool.note_silent(address, clocks.now())
@@ -173,7 +173,7 @@
 
 
 def list_resting(pool: connections.Pool) -> list[connections.Connection]:
-    return [c for resting in pool._resting.values() for c in resting]
+    return [c for resting in pool._idle.values() for c in resting]
 
 
 @pytest.mark.parametrize(('path', 'prompt'), [('/safe/x', False), ('/resume/x', True)])
