--- a/passpier/clocks.py
+++ b/passpier/clocks.py
@@ -1,9 +1,9 @@
-"""The clocks that everything goes by. No other module reads those of the system.
+"""The clocks of the process. No other module reads the system's clocks.
 
-A VM may be suspended for seconds. The kernel's monotonic clock does not count them, so that a
-process which goes by it believes what it knew before to be as fresh as then: keys that were taken
-away, its right to give orders, its part of a limit. The clock here counts them: to a process, a
-suspension is the same as standing still, and whatever holds for the one holds for the other.
+A VM may be suspended for seconds, which the kernel's monotonic clock does not count. With that
+clock, a process would take outdated state for current after a suspension: revoked keys, its right
+to give orders, its share of a limit. The clock used here counts suspensions, so that a suspension
+has the same effect as a process that was stopped for that time.
 """
 
 from __future__ import annotations
@@ -15,70 +15,70 @@
 
 T = TypeVar('T')
 
-SUSPENDED_FROM = 0.1
-"""Seconds by which the clock must run ahead of the monotonic one for a suspension."""
+MIN_SUSPENSION = 0.1
+"""Seconds that the clock must gain on the monotonic clock to count as a suspension."""
 
-READ_WITHIN = 0.01
-"""Seconds within which both clocks have to be read, or the reading counts for nothing: a process
-may get no time between."""
+MAX_READ_GAP = 0.01
+"""Seconds within which both clocks have to be read; otherwise the process was preempted between
+the reads, and they are repeated."""
 
-_COUNTING = getattr(time, 'CLOCK_BOOTTIME', time.CLOCK_MONOTONIC)
-"""Counts suspensions where the system has such a clock, as Linux does."""
+_CLOCK_ID = getattr(time, 'CLOCK_BOOTTIME', time.CLOCK_MONOTONIC)
+"""A clock that counts suspensions, if the system has one, as Linux does."""
 
 
 def now() -> float:
-    """Return the seconds since some moment; only differences mean anything."""
-    return time.clock_gettime(_COUNTING)
+    """Return the seconds since an arbitrary point in time; only differences are meaningful."""
+    return time.clock_gettime(_CLOCK_ID)
 
 
-def read_running() -> float:
-    """Return the same without the seconds of suspensions."""
+def read_monotonic() -> float:
+    """Return the monotonic time, which does not count suspensions."""
     return time.monotonic()
 
 
 def read_time_of_day() -> float:
-    """Return the Unix time, which jumps when it is set."""
+    """Return the Unix time, which jumps when the clock is set."""
     return time.time()
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """An event loop whose timers and time-outs go by `now`.
+    """An event loop whose timers and timeouts are based on `now`.
 
-    One that is due when a suspension ends runs at the next turn, which comes within the shortest
-    period of anything that repeats: 20 to 100 ms. To hand a clock to each part instead would leave
-    the time-outs of libraries to the other one.
+    A timer that is due when a suspension ends runs in the next iteration, which the shortest
+    periodic timer starts within 20 to 100 ms. The loop's clock is replaced, instead of passing a
+    clock to each component, so that the timeouts of libraries use it too.
     """
 
     def time(self) -> float:
-        """Return what timers are compared with."""
+        """Return the time that timers are compared with."""
         return now()
 
 
 def run(work: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine in such a loop, as `asyncio.run` does in the usual one."""
+    """Run a coroutine in a `Loop`, like `asyncio.run`."""
     with asyncio.Runner(loop_factory=Loop) as runner:
         return runner.run(work)
 
 
 class Suspensions:
-    """Notices that the VM has been suspended."""
+    """Detects that the VM was suspended."""
 
     def __init__(self) -> None:
-        self._ahead = _measure_ahead()
+        self._lead = _measure_lead()
 
     def find(self) -> float:
         """Return the seconds for which the VM was suspended since the last call, or 0."""
-        ahead = _measure_ahead()
-        seconds = ahead - self._ahead
-        if seconds < SUSPENDED_FROM:
+        lead = _measure_lead()
+        seconds = lead - self._lead
+        if seconds < MIN_SUSPENSION:
             return 0.0
-        self._ahead = ahead
+        self._lead = lead
         return seconds
 
 
-def _measure_ahead() -> float:
+def _measure_lead() -> float:
     while True:
-        running = read_running()
-        counting = now()
-        if read_running() - running < READ_WITHIN:
-            return counting - running
+        monotonic = read_monotonic()
+        including_suspensions = now()
+        if read_monotonic() - monotonic < MAX_READ_GAP:
+            return including_suspensions - monotonic
--- a/passpier/commands/__init__.py
+++ b/passpier/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: thin functions that parse and call on."""
+"""The command line; thin functions that parse arguments and call a daemon."""
--- a/passpier/commands/main.py
+++ b/passpier/commands/main.py
@@ -1,4 +1,4 @@
-"""Entry point of the `passpier` command: parses, calls on, and sets the exit code."""
+"""Entry point of the `passpier` command: parses arguments, calls a daemon, sets the exit code."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 EXIT_REFUSED = 5
 EXIT_BEHIND = 6
 
-SWITCHES = frozenset({'--json', '--wait'})
+BOOLEAN_FLAGS = frozenset({'--json', '--wait'})
 CONFLICT_CODE = 2
 WAIT_SECONDS = 10.0
 CALL_TIMEOUT = 20.0
@@ -87,9 +87,9 @@
 
     def entries(self, account: str) -> None:
         """Show the addresses that an account should use."""
-        ranked = self._call('entries', account=account)
-        lines = [f'{e["address"]}  {e["failure_domain"]}  {e["incarnation"]}' for e in ranked]
-        self._show(ranked, '\n'.join(lines))
+        found = self._call('entries', account=account)
+        lines = [f'{e["address"]}  {e["failure_domain"]}  {e["incarnation"]}' for e in found]
+        self._show(found, '\n'.join(lines))
 
     def explain(self, request: str, logs: str = '') -> None:
         """Show why a request went where it went: from a daemon, or from log files (a pattern)."""
@@ -121,13 +121,13 @@
 
 def main() -> None:
     """Run the command line."""
-    # Without a value `fire` would take the next word for one.
-    arguments = [f'{a}=True' if a in SWITCHES else a for a in sys.argv[1:]]
-    sys.exit(run_guarded(lambda: fire.Fire(Commands, arguments, name='passpier')))
+    # Without an explicit value, `fire` would take the next argument as the value of the flag.
+    arguments = [f'{a}=True' if a in BOOLEAN_FLAGS else a for a in sys.argv[1:]]
+    sys.exit(run_and_report(lambda: fire.Fire(Commands, arguments, name='passpier')))
 
 
-def run_guarded(command: Callable[[], Any]) -> int:
-    """Return the exit code of a command; errors go to standard error, a line each."""
+def run_and_report(command: Callable[[], Any]) -> int:
+    """Run a command and return its exit code; print each error as a line on standard error."""
     try:
         command()
     except exceptions.FindingsError as error:
--- a/passpier/commands/output.py
+++ b/passpier/commands/output.py
@@ -1,4 +1,4 @@
-"""Output of the command line for people, and as JSON."""
+"""Output of the command line, as text or JSON."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def render_yaml(data: Any) -> str:
-    """Return data as YAML, in the order of its keys."""
+    """Return data as YAML and keep the order of its keys."""
     return yaml.safe_dump(data, sort_keys=False).rstrip()
 
 
@@ -41,7 +41,7 @@
 
 
 def render_decision(decision: dict[str, Any]) -> str:
-    """Return one decision with its candidates."""
+    """Return a routing decision and its candidates as text."""
     if 'chosen' not in decision:
         return f'refused: {decision["reason"]} ({decision["outcome"]}): {decision["detail"]}'
     lines = [
--- a/passpier/commands/traces.py
+++ b/passpier/commands/traces.py
@@ -1,4 +1,4 @@
-"""Finds the lines of one request in log files."""
+"""Finds the log lines of a request in log files."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 Line = dict[str, Any]
 
-_ORDER = ('time', 'daemon', 'event')
-_LEFT_OUT = frozenset({*_ORDER, 'level', 'name', 'request', 'candidates'})
+_LEADING_FIELDS = ('time', 'daemon', 'event')
+_OMITTED_FIELDS = frozenset({*_LEADING_FIELDS, 'level', 'name', 'request', 'candidates'})
 
 
 def read_lines(patterns: Iterable[str], request: str) -> list[Line]:
-    """Return a request's lines of all files that match, in the order of their times."""
+    """Return the log lines of a request in all files that match the patterns, sorted by time."""
     paths = [p for pattern in patterns for p in sorted(glob.glob(pattern))]
     if not paths:
         finding = exceptions.Finding(' '.join(patterns), 'no log file there')
@@ -26,11 +26,11 @@
 
 
 def render(lines: Iterable[Line]) -> str:
-    """Return lines as text, one an event, with the inputs that decided it."""
+    """Return log lines as text: one line per event, followed by the candidates it chose from."""
     texts = []
     for line in lines:
-        start = ' '.join(str(line.get(name, '-')) for name in _ORDER)
-        rest = ' '.join(f'{k}={v}' for k, v in line.items() if k not in _LEFT_OUT)
+        start = ' '.join(str(line.get(name, '-')) for name in _LEADING_FIELDS)
+        rest = ' '.join(f'{k}={v}' for k, v in line.items() if k not in _OMITTED_FIELDS)
         texts.append(f'{start}: {rest}')
         for candidate in line.get('candidates', ()):
             texts.append('    ' + ' '.join(f'{k}={v}' for k, v in candidate.items()))
@@ -40,7 +40,7 @@
 def _read_file(path: str) -> Iterator[Line]:
     with open(path, errors='replace') as file:
         for text in file:
-            # Other programs may write to the same file, and times may stand before a line.
+            # Other programs may write to the same file, and a timestamp may precede the JSON.
             start = text.find('{')
             if start < 0:
                 continue
--- a/passpier/config/__init__.py
+++ b/passpier/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of the daemon and the schema file of the fleet, both validated."""
+"""The validated settings of the daemon and the schema file of the fleet."""
--- a/passpier/config/addresses.py
+++ b/passpier/config/addresses.py
@@ -1,4 +1,4 @@
-"""Checks of addresses in settings and declarations."""
+"""Validation of addresses in settings and schema files."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def check_address(value: str) -> str:
-    """Return an `IP:port` address, or raise a `ValueError` that says what is wrong."""
+    """Return a valid `IP:port` address; raise `ValueError` with the reason if it is not."""
     host, separator, port = value.rpartition(':')
     if not separator or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError('must be IP:port')
--- a/passpier/config/declarations.py
+++ b/passpier/config/declarations.py
@@ -1,7 +1,8 @@
-"""The configuration inside the daemon: plain data classes, decoded from an accepted document.
+"""The daemon's representation of the configuration, decoded from an accepted document.
 
-They mirror the models of `schema`, which validate what operators hand in. An accepted document has
-passed those, so that decoding it again is quick and takes little memory.
+The structs mirror the models of `schema`, which validate what operators submit. An accepted
+document has passed that validation, so the daemon decodes it into plain structs, which is faster
+and takes less memory.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 
 class Model(msgspec.Struct, frozen=True):
-    """A language model with the weight version that is wanted."""
+    """A language model with its target weight version."""
 
     name: str
     weight_version: str
@@ -19,14 +20,14 @@
 
 
 class Path(msgspec.Struct, frozen=True):
-    """A path of a plain service with rules of its own."""
+    """Settings for one path of a plain service."""
 
     path: str
     repeatable: bool = True
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A language-model task or a plain service."""
+    """A language-model service or a plain HTTP service."""
 
     name: str
     pool: str
@@ -42,7 +43,7 @@
 
 
 class Account(msgspec.Struct, frozen=True):
-    """A client account with its limits over the whole fleet."""
+    """A client account with its fleet-wide limits."""
 
     name: str
     key_digests: tuple[str, ...] = ()
@@ -53,7 +54,7 @@
 
 
 class Upstream(msgspec.Struct, frozen=True):
-    """An engine replica or a plain service's process."""
+    """An engine replica or a process of a plain service."""
 
     name: str
     address: str
@@ -66,14 +67,14 @@
 
 
 class Pool(msgspec.Struct, frozen=True):
-    """Upstreams that can stand in for each other."""
+    """Interchangeable upstreams."""
 
     name: str
     upstreams: tuple[Upstream, ...]
 
 
 class Rule(msgspec.Struct, frozen=True):
-    """Which policy chooses the replica."""
+    """The routing policy for some services and accounts."""
 
     services: tuple[str, ...] = ('*',)
     accounts: tuple[str, ...] = ('*',)
@@ -81,7 +82,7 @@
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """The whole declaration of a fleet."""
+    """The complete configuration of a fleet."""
 
     fleet: str
     models: tuple[Model, ...] = ()
--- a/passpier/config/loader.py
+++ b/passpier/config/loader.py
@@ -1,4 +1,4 @@
-"""Reads a schema file and gathers every finding with its line and path."""
+"""Loads a schema file and collects all findings, each with its line and path."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from passpier.config import schema
 
 MAX_DEPTH = 16
-"""Depth beyond which no line is noted; an alias may refer to what contains it."""
+"""Nesting depth up to which line numbers are recorded; a YAML alias may refer to its own parent."""
 
 _Path = tuple[str | int, ...]
 
 
 def load_text(text: str, name: str = 'schema') -> schema.Fleet:
-    """Return the fleet that a schema file declares.
+    """Return the fleet that the text of a schema file declares.
 
     Raises `FindingsError` with all findings, each with file, line and path.
     """
@@ -27,19 +27,19 @@
         data = yaml.safe_load(text)
     except yaml.YAMLError as error:
         mark = getattr(error, 'problem_mark', None)
-        place = f'{name}:{mark.line + 1 if mark else 1}'
+        location = f'{name}:{mark.line + 1 if mark else 1}'
         problem = getattr(error, 'problem', None) or str(error)
-        raise exceptions.FindingsError([exceptions.Finding(place, problem)]) from error
+        raise exceptions.FindingsError([exceptions.Finding(location, problem)]) from error
     lines: dict[_Path, int] = {}
     _collect_lines(node, (), lines)
     try:
         fleet = schema.Fleet.model_validate(data)
     except pydantic.ValidationError as error:
-        located = [(tuple(e['loc']), e['msg']) for e in error.errors()]
-        raise exceptions.FindingsError(_place(located, lines, name)) from error
-    located = list(check_references(fleet))
-    if located:
-        raise exceptions.FindingsError(_place(located, lines, name))
+        errors = [(tuple(e['loc']), e['msg']) for e in error.errors()]
+        raise exceptions.FindingsError(_locate(errors, lines, name)) from error
+    errors = list(check_references(fleet))
+    if errors:
+        raise exceptions.FindingsError(_locate(errors, lines, name))
     return fleet
 
 
@@ -54,7 +54,7 @@
 
 
 def check_references(fleet: schema.Fleet) -> Iterable[tuple[_Path, str]]:
-    """Yield the path and message of each duplicate name and dangling reference."""
+    """Yield the path and the message of each duplicate name and dangling reference."""
     yield from _check_duplicates('models', [m.name for m in fleet.models])
     yield from _check_duplicates('services', [s.name for s in fleet.services])
     yield from _check_duplicates('accounts', [a.name for a in fleet.accounts])
@@ -77,19 +77,19 @@
     models = {m.name: m for m in fleet.models}
     pools = {p.name for p in fleet.pools}
     for index, service in enumerate(fleet.services):
-        place: _Path = ('services', index)
+        location: _Path = ('services', index)
         if service.pool not in pools:
-            yield (*place, 'pool'), f'no pool is called {service.pool!r}'
+            yield (*location, 'pool'), f'no pool is called {service.pool!r}'
         if service.kind == 'plain':
             if service.model is not None:
-                yield (*place, 'model'), 'a plain service has no model'
+                yield (*location, 'model'), 'a plain service has no model'
             continue
         if service.model is None:
-            yield place, 'a model service needs a model'
+            yield location, 'a model service needs a model'
         elif service.model not in models:
-            yield (*place, 'model'), f'no model is called {service.model!r}'
+            yield (*location, 'model'), f'no model is called {service.model!r}'
         elif service.adapter and service.adapter not in models[service.model].adapters:
-            yield (*place, 'adapter'), f'{service.model!r} has no adapter {service.adapter!r}'
+            yield (*location, 'adapter'), f'{service.model!r} has no adapter {service.adapter!r}'
 
 
 def _check_accounts(fleet: schema.Fleet) -> Iterable[tuple[_Path, str]]:
@@ -112,8 +112,8 @@
         for position, upstream in enumerate(pool.upstreams):
             counts[upstream.name] += 1
             if counts[upstream.name] > 1:
-                place = ('pools', index, 'upstreams', position, 'name')
-                yield place, f'{upstream.name!r} is declared twice'
+                location = ('pools', index, 'upstreams', position, 'name')
+                yield location, f'{upstream.name!r} is declared twice'
 
 
 def _check_rules(fleet: schema.Fleet) -> Iterable[tuple[_Path, str]]:
@@ -141,14 +141,14 @@
             _collect_lines(value, (*path, index), lines)
 
 
-def _place(
-    located: list[tuple[_Path, str]], lines: dict[_Path, int], name: str
+def _locate(
+    errors: list[tuple[_Path, str]], lines: dict[_Path, int], name: str
 ) -> list[exceptions.Finding]:
     findings = []
-    for path, message in located:
-        known = path
-        while known and known not in lines:
-            known = known[:-1]
+    for path, message in errors:
+        ancestor = path
+        while ancestor and ancestor not in lines:
+            ancestor = ancestor[:-1]
         dotted = '.'.join(str(part) for part in path) or '(top)'
-        findings.append(exceptions.Finding(f'{name}:{lines.get(known, 1)} {dotted}', message))
+        findings.append(exceptions.Finding(f'{name}:{lines.get(ancestor, 1)} {dotted}', message))
     return findings
--- a/passpier/config/schema.py
+++ b/passpier/config/schema.py
@@ -1,4 +1,4 @@
-"""The schema file: what operators declare, as validated models."""
+"""Validated models of the schema file that operators write."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Section(pydantic.BaseModel):
-    """Base of all sections: unknown keys are refused."""
+    """Base class of all sections; rejects unknown keys."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
--- a/passpier/config/settings.py
+++ b/passpier/config/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon: each a flag and an environment variable; a flag wins."""
+"""Settings of the daemon, from flags and environment variables; flags take precedence."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Settings(pydantic_settings.BaseSettings):
-    """Everything that a daemon learns from its start command."""
+    """Settings of a daemon, fixed at its start."""
 
     model_config = pydantic_settings.SettingsConfigDict(
         env_prefix=ENV_PREFIX, extra='forbid', frozen=True
@@ -83,12 +83,12 @@
 
     @property
     def store_endpoints(self) -> tuple[str, ...]:
-        """The store's addresses; empty for the in-memory store."""
+        """Addresses of the store; empty for the in-memory store."""
         return () if self.store == 'memory' else _split(self.store)
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser with one flag per setting."""
+    """Return an argument parser with one flag per setting."""
     parser = argparse.ArgumentParser(prog='passpierd', description='The passpier daemon.')
     for name, field in Settings.model_fields.items():
         flag = '--' + name.replace('_', '-')
@@ -98,7 +98,7 @@
 
 
 def load_settings(arguments: list[str]) -> Settings:
-    """Return the settings from flags and environment; raise `FindingsError` with all findings."""
+    """Load the settings from flags and environment; raise `FindingsError` with all findings."""
     given = vars(build_parser().parse_args(arguments))
     try:
         return Settings(**given)
--- a/passpier/exceptions.py
+++ b/passpier/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors and findings of passpier."""
+"""Exceptions, error codes and validation findings."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known about whether a request ran at an upstream."""
+    """Whether a request is known to have run at an upstream."""
 
     NOT_RUN = 'not_run'
     UNKNOWN = 'unknown'
@@ -16,7 +16,7 @@
 
 
 class Code(enum.StrEnum):
-    """Stable names of the reasons for which a request is refused or ends early."""
+    """Stable codes of the reasons for which a request is rejected or ends early."""
 
     BAD_REQUEST = 'bad_request'
     BODY_TOO_LARGE = 'body_too_large'
@@ -39,9 +39,9 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """A request that ends without its answer.
+    """Why a request ends without a regular response.
 
-    `retry_after` is in seconds; `entries` names addresses that may serve the caller instead.
+    `retry_after` is in seconds; `entries` lists addresses that may serve the caller instead.
     """
 
     code: Code
@@ -52,7 +52,7 @@
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """One thing wrong with an input, and where."""
+    """One error in an input, with its location."""
 
     place: str
     message: str
@@ -62,11 +62,11 @@
 
 
 class PasspierError(Exception):
-    """Base of the errors that passpier raises."""
+    """Base class of the exceptions that passpier raises."""
 
 
 class FindingsError(PasspierError):
-    """An input was refused; carries every finding."""
+    """An input is invalid; carries all findings."""
 
     def __init__(self, findings: list[Finding]) -> None:
         super().__init__('\n'.join(str(f) for f in findings))
@@ -74,8 +74,8 @@
 
 
 class StoreError(PasspierError):
-    """The key-value service gave no answer; a write may or may not have taken effect."""
+    """A call to the key-value service failed; a write may or may not have taken effect."""
 
 
 class ConflictError(PasspierError):
-    """A write lost against another one."""
+    """A write was rejected because of a concurrent write."""
--- a/passpier/tests/broken.py
+++ b/passpier/tests/broken.py
@@ -1,4 +1,7 @@
-"""Checks that a proof fails on a broken variant: a proof that cannot fail proves nothing."""
+"""Checks that a stateful test fails on a deliberately broken implementation.
+
+A test that cannot fail proves nothing.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 def check_caught(machine: type[stateful.RuleBasedStateMachine], steps: int = 30) -> None:
-    """Run a broken state machine with fixed seeds; one of them must show the fault."""
+    """Run a broken state machine with fixed seeds; at least one of them must detect the fault."""
     settings = hypothesis.settings(
         max_examples=150,
         stateful_step_count=steps,
--- a/passpier/tests/clocks_tests.py
+++ b/passpier/tests/clocks_tests.py
@@ -1,4 +1,4 @@
-"""The clock counts the seconds in which the VM is suspended; what is bounded in time goes by it."""
+"""Tests of `passpier.clocks`: the clock counts suspensions of the VM, and so do all time bounds."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 from passpier.standins import suspension
 
 ROOT = pathlib.Path(passpier.__file__).parent
-READS = re.compile(
+CLOCK_READS = re.compile(
     r'\btime\.(monotonic|time|time_ns|monotonic_ns|perf_counter|clock_gettime)\b'
     r'|datetime\.(now|utcnow)\(|^from time import',
     re.MULTILINE,
 )
 
 
-def test_no_other_module_reads_the_clocks_of_the_system() -> None:
+def test_no_other_module_reads_the_system_clocks() -> None:
     for path in sorted(ROOT.rglob('*.py')):
         relative = path.relative_to(ROOT).as_posix()
         if relative.startswith(('tests/', 'standins/')) or relative == 'clocks.py':
             continue
-        assert not READS.search(path.read_text()), relative
+        assert not CLOCK_READS.search(path.read_text()), relative
 
 
-def test_a_suspension_counts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clock_counts_a_suspension(monkeypatch: pytest.MonkeyPatch) -> None:
     suspended = suspension.Suspension(monkeypatch.setattr)
-    running = time.monotonic()
+    monotonic_before = time.monotonic()
     before = clocks.now()
     suspended.happen(5.0)
     passed = clocks.now() - before
     assert passed >= 5.0
-    assert passed - (time.monotonic() - running) <= 5.0
+    assert passed - (time.monotonic() - monotonic_before) <= 5.0
 
 
-def test_each_suspension_is_found_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_suspension_is_detected_once(monkeypatch: pytest.MonkeyPatch) -> None:
     suspended = suspension.Suspension(monkeypatch.setattr)
-    found = clocks.Suspensions()
-    assert not found.find()
+    detector = clocks.Suspensions()
+    assert not detector.find()
     suspended.happen(0.3)
-    assert found.find() == pytest.approx(0.3, abs=0.05)
-    assert not found.find()
+    assert detector.find() == pytest.approx(0.3, abs=0.05)
+    assert not detector.find()
     suspended.happen(20.0)
-    assert found.find() == pytest.approx(20.0, abs=0.05)
+    assert detector.find() == pytest.approx(20.0, abs=0.05)
 
 
-def test_timers_that_fell_due_meanwhile_run_at_the_next_turn(
+def test_timers_due_after_a_suspension_run_in_the_next_loop_iteration(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     suspended = suspension.Suspension(monkeypatch.setattr)
--- a/passpier/tests/commands/main_tests.py
+++ b/passpier/tests/commands/main_tests.py
@@ -1,4 +1,4 @@
-"""The command line: output, exit codes, one clear line when no daemon answers."""
+"""The command line: output, exit codes, and one line of error if no daemon responds."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def normalise(text: str) -> str:
-    """Return output without what differs from run to run."""
+    """Replace the parts of an output that differ from run to run."""
     text = re.sub(r'127\.0\.0\.1:\d+', 'ADDRESS', text)
     text = re.sub(r'[0-9a-f]{32}', 'ID', text)
     text = re.sub(r'(wait|prefill|recompute|crowding|waited) +[\d.]+', r'\1 N', text)
@@ -57,23 +57,23 @@
     assert normalise(run(fleet, 'status').stdout) == snapshot
     entries = json.loads(run(fleet, '--json', 'entries', 'tower').stdout)
     assert {e['address'] for e in entries} == {d.entry for d in fleet.daemons}
-    answer = fleet.complete(1, 'explain me')
-    explained = run(fleet, 'explain', answer.headers['X-Request-Id'])
+    response = fleet.complete(1, 'explain me')
+    explained = run(fleet, 'explain', response.headers['X-Request-Id'])
     assert 'engine-1 by cost' in explained.stdout
     missing = run(fleet, 'explain', 'no-such-request')
     assert (missing.returncode, missing.stdout) == (5, '')
 
 
-def test_wrong_files_and_unreachable_daemons(fleet: fleets.Fleet) -> None:
+def test_invalid_files_and_unreachable_daemons(fleet: fleets.Fleet) -> None:
     bad = fleet.trial.folder / 'bad.yaml'
     bad.write_text('fleet: f\nextra: 1\nservices: [{name: s, pool: p}]\n')
     refused = run(fleet, 'apply', str(bad))
     assert refused.returncode == 1
     assert 'bad.yaml:2 extra' in refused.stderr
     assert run(fleet, 'validate', 'none.yaml').returncode == 1
-    lost = run(fleet, '--daemon', '127.0.0.1:1', 'status')
-    assert lost.returncode == 3
-    assert len(lost.stderr.strip().splitlines()) == 1
+    unreachable = run(fleet, '--daemon', '127.0.0.1:1', 'status')
+    assert unreachable.returncode == 3
+    assert len(unreachable.stderr.strip().splitlines()) == 1
     wrong = run(fleet, '--secret', 'another-secret', 'status')
     assert wrong.returncode == 3
     assert 'secret' in wrong.stderr
@@ -97,7 +97,7 @@
         assert done.stdout
 
 
-def test_daemon_with_bad_settings_starts_nothing() -> None:
+def test_daemon_with_invalid_settings_does_not_start() -> None:
     done = subprocess.run(
         [sys.executable, '-m', 'passpier.daemon.main', '--name', 'X Y', '--peer-port', '-1'],
         capture_output=True,
@@ -108,7 +108,7 @@
     assert len(done.stderr.strip().splitlines()) == 3
 
 
-def test_differences_name_their_place() -> None:
+def test_differences_name_their_path() -> None:
     old = {'fleet': 'a', 'pools': [{'name': 'p', 'n': 1}, {'name': 'q'}]}
     new = {'fleet': 'b', 'pools': [{'name': 'p', 'n': 2}, {'name': 'r'}]}
     assert [str(c) for c in differences.compare(old, new)] == [
--- a/passpier/tests/commands/traces_tests.py
+++ b/passpier/tests/commands/traces_tests.py
@@ -1,4 +1,4 @@
-"""A request's lines out of log files."""
+"""Extracting the log lines of a request from log files."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return {'time': time, 'daemon': 'vm-1', 'event': event, 'request': 'r1', **more}
 
 
-def test_lines_of_all_files_come_in_order(tmp_path: pathlib.Path) -> None:
+def test_lines_of_all_files_are_sorted_by_time(tmp_path: pathlib.Path) -> None:
     candidates = [{'upstream': 'a', 'wait': 0.1}]
     write(
         tmp_path / 'one.log',
@@ -38,7 +38,7 @@
     ]
 
 
-def test_no_files_are_a_finding(tmp_path: pathlib.Path) -> None:
+def test_missing_files_are_a_finding(tmp_path: pathlib.Path) -> None:
     with pytest.raises(exceptions.FindingsError):
         traces.read_lines([str(tmp_path / '*.log')], 'r1')
 
--- a/passpier/tests/config/schema_tests.py
+++ b/passpier/tests/config/schema_tests.py
@@ -1,4 +1,4 @@
-"""Schema files and settings: all findings at once, each with its place."""
+"""Schema files and settings: all findings are reported at once, each with its location."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from passpier.config import declarations, directory, loader, schema, settings
 
 EXAMPLES = pathlib.Path(__file__).parents[3] / 'docs' / 'examples'
-BAD = """\
+INVALID = """\
 fleet: Radar Desk
 models:
   - name: m
@@ -62,8 +62,8 @@
     return [str(f) for f in caught.value.findings]
 
 
-def test_all_findings_come_at_once_with_their_lines(snapshot: SnapshotAssertion) -> None:
-    assert list_findings(BAD) == snapshot
+def test_all_findings_are_reported_at_once_with_their_lines(snapshot: SnapshotAssertion) -> None:
+    assert list_findings(INVALID) == snapshot
 
 
 def test_dangling_references_and_duplicates(snapshot: SnapshotAssertion) -> None:
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize('text', ['', '[1, 2', 'a: b: c', '- 1', 'fleet: &a [*a]'])
-def test_files_that_are_no_schema(text: str) -> None:
+def test_files_that_are_not_a_schema(text: str) -> None:
     assert list_findings(text)
 
 
@@ -84,7 +84,7 @@
 
 
 @hypothesis.given(st.text(max_size=60))
-def test_any_text_is_accepted_or_refused_with_findings(text: str) -> None:
+def test_any_text_is_accepted_or_rejected_with_findings(text: str) -> None:
     try:
         loader.load_text(text)
     except exceptions.FindingsError as error:
@@ -92,7 +92,7 @@
 
 
 def test_declarations_mirror_the_schema() -> None:
-    """What the daemon decodes has the fields of what was validated."""
+    """The daemon decodes with these structs what the schema validated: their fields must agree."""
     for name in ('Model', 'Path', 'Service', 'Account', 'Upstream', 'Pool', 'Rule', 'Fleet'):
         model = getattr(schema, name)
         mirror = {f.name: f for f in msgspec.structs.fields(getattr(declarations, name))}
@@ -102,7 +102,7 @@
                 assert mirror[field_name].default == field.default, field_name
 
 
-def test_longest_path_decides_what_is_repeatable() -> None:
+def test_longest_matching_path_decides_whether_a_request_is_repeatable() -> None:
     service = declarations.Service(
         name='s',
         kind='plain',
@@ -112,12 +112,12 @@
             declarations.Path(path='/a/b', repeatable=True),
         ),
     )
-    asked = ['/', '/a', '/a/c', '/a/b', '/a/b/c', '/ab']
-    found = [directory.is_repeatable(service, path) for path in asked]
-    assert found == [True, False, False, True, True, True]
+    requested = ['/', '/a', '/a/c', '/a/b', '/a/b/c', '/ab']
+    repeatable = [directory.is_repeatable(service, path) for path in requested]
+    assert repeatable == [True, False, False, True, True, True]
 
 
-def test_settings_take_flags_over_environment(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_flags_take_precedence_over_environment(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv('PASSPIER_NAME', 'from-environment')
     monkeypatch.setenv('PASSPIER_OPERATOR_SECRET', 'long enough')
     monkeypatch.setenv('PASSPIER_SEEDS', '10.0.0.1:1, 10.0.0.2:2')
@@ -128,7 +128,7 @@
     assert 'long enough' not in repr(options)
 
 
-def test_settings_report_every_finding(
+def test_settings_report_all_findings(
     monkeypatch: pytest.MonkeyPatch, snapshot: SnapshotAssertion
 ) -> None:
     monkeypatch.setenv('PASSPIER_IP', 'vm-1.example')
--- a/passpier/tests/conftest.py
+++ b/passpier/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of all tests: hypothesis gives the same examples on every run; known failures."""
+"""Configuration of all tests: a deterministic hypothesis profile, and the known failures."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 import passpier
 from passpier import clocks
 
-ENTRY = re.compile(r'[^|]+\|[^|]{20,}\| issue \d+')
-"""One known failure: the test or the command with its seed, what was seen, the open issue."""
+KNOWN_RED_ENTRY = re.compile(r'[^|]+\|[^|]{20,}\| issue \d+')
+"""A known failure: the test or the command with its seed, the observed failure, the open issue."""
 
 KNOWN_RED = pathlib.Path(passpier.__file__).parent.parent / 'KNOWN-RED.txt'
 
@@ -24,23 +24,25 @@
 
 
 def read_known_red() -> dict[str, str]:
-    """Return the tests that may fail, each with its cause."""
+    """Return the tests and commands that are known to fail, each with its description."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
     for line in lines:
-        assert ENTRY.fullmatch(line), f'not TEST OR COMMAND | WHAT WAS SEEN | issue N: {line}'
+        assert KNOWN_RED_ENTRY.fullmatch(line), (
+            f'not TEST OR COMMAND | WHAT WAS SEEN | issue N: {line}'
+        )
     return {name.strip(): rest.strip() for name, _, rest in (x.partition('|') for x in lines)}
 
 
 @pytest.fixture
 def virtual_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have the steady clock follow the event loop's, in tests in virtual time."""
+    """Make `clocks.now` follow the event loop's clock, for tests in virtual time."""
     monkeypatch.setattr(clocks, 'now', lambda: asyncio.get_running_loop().time())
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Run the known ones all the same, but let them fail."""
+    """Mark the known failures as expected; they still run."""
     known = read_known_red()
     for item in items:
         if item.nodeid in known:
@@ -48,6 +50,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the known ones with every run."""
+    """Print the known failures after every run."""
     for name, cause in read_known_red().items():
         terminalreporter.write_line(f'known red: {name}: {cause}')
--- a/passpier/tests/fakes.py
+++ b/passpier/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces, for tests in virtual time."""
+"""Fakes of external interfaces, for tests in virtual time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FaultyStore(store.MemoryStore):
-    """A store that is down, slow, or loses answers after the effect."""
+    """A store that can be down, is slow, and may lose responses of calls that took effect."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__()
@@ -21,20 +21,20 @@
         self.writes = 0
 
     async def get(self, key: str) -> store.Value | None:
-        """Read one value, if the store answers."""
-        await self._pass()
+        """Return the value of a key, or raise `StoreError` if the call fails."""
+        await self._simulate_delay_and_loss()
         return await super().get(key)
 
     async def read(self, prefix: str) -> list[store.Value]:
-        """Read values, if the store answers."""
-        await self._pass()
+        """Return the values under a prefix, or raise `StoreError` if the call fails."""
+        await self._simulate_delay_and_loss()
         return await super().read(prefix)
 
     async def write(
         self, operations: Sequence[store.Put | store.Delete], conditions: Sequence[store.IsAt] = ()
     ) -> bool:
-        """Write; the answer may be lost before or after the effect, or the effect come late."""
-        await self._pass()
+        """Write; the request or the response may be lost, and a failed write may apply late."""
+        await self._simulate_delay_and_loss()
         if self.rng.random() < self.loss / 2:
             delay = self.rng.uniform(0.01, 0.3)
             loop = asyncio.get_running_loop()
@@ -42,7 +42,7 @@
             raise exceptions.StoreError('no answer')
         self.writes += 1
         done = await super().write(operations, conditions)
-        await self._pass()
+        await self._simulate_delay_and_loss()
         return done
 
     def _write_late(
@@ -50,7 +50,7 @@
     ) -> None:
         asyncio.ensure_future(super().write(operations, conditions))
 
-    async def _pass(self) -> None:
+    async def _simulate_delay_and_loss(self) -> None:
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
         if self.down or self.rng.random() < self.loss:
             raise exceptions.StoreError('no answer')
--- a/passpier/utils/__init__.py
+++ b/passpier/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers shared by several sub-packages."""
+"""Utilities shared by several subpackages."""
--- a/passpier/utils/differences.py
+++ b/passpier/utils/differences.py
@@ -8,43 +8,43 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """One difference: `kind` is `+`, `-` or `~`."""
+    """One difference; `kind` is `+` (added), `-` (removed) or `~` (changed)."""
 
     kind: str
-    place: str
+    path: str
     detail: str = ''
 
     def __str__(self) -> str:
-        return f'{self.kind} {self.place}' + (f': {self.detail}' if self.detail else '')
+        return f'{self.kind} {self.path}' + (f': {self.detail}' if self.detail else '')
 
 
 def compare(old: dict[str, Any], new: dict[str, Any]) -> list[Change]:
-    """Return what changes from `old` to `new`; named sections are compared by name."""
+    """Return the changes from `old` to `new`; lists of named items are compared by name."""
     return _compare(old, new, '')
 
 
-def _compare(old: Any, new: Any, place: str) -> list[Change]:
+def _compare(old: Any, new: Any, path: str) -> list[Change]:
     if old == new:
         return []
     if isinstance(old, dict) and isinstance(new, dict):
-        return _compare_maps(old, new, place)
+        return _compare_maps(old, new, path)
     if _is_named(old) and _is_named(new):
         before = {item['name']: item for item in old}
         after = {item['name']: item for item in new}
-        return _compare_maps(before, after, place)
-    return [Change('~', place, f'{old!r} to {new!r}')]
+        return _compare_maps(before, after, path)
+    return [Change('~', path, f'{old!r} to {new!r}')]
 
 
-def _compare_maps(old: dict[str, Any], new: dict[str, Any], place: str) -> list[Change]:
+def _compare_maps(old: dict[str, Any], new: dict[str, Any], path: str) -> list[Change]:
     changes = []
     for key in dict.fromkeys([*old, *new]):
-        inner = f'{place}.{key}' if place else str(key)
+        child_path = f'{path}.{key}' if path else str(key)
         if key not in new:
-            changes.append(Change('-', inner))
+            changes.append(Change('-', child_path))
         elif key not in old:
-            changes.append(Change('+', inner))
+            changes.append(Change('+', child_path))
         else:
-            changes += _compare(old[key], new[key], inner)
+            changes += _compare(old[key], new[key], child_path)
     return changes
 
 
