--- a/passpier/standins/platform/__init__.py
+++ b/passpier/standins/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' platform: its store, replicas of services, and a deployment of them.
+"""Stand-ins for the users' platform: its store, service replicas, and a deployment of them.
 
-They speak the platform's wire, so that the adapter is tried against it without the users' bench.
+They implement the platform's wire protocol, so that the adapter can be tested without the platform.
 """
--- a/passpier/standins/platform/asking.py
+++ b/passpier/standins/platform/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a soak: where they go, what they ask, and what they saw."""
+"""The clients of a soak: how they choose routers, what they send, and what they received."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from passpier.platform import names
 from passpier.standins.platform import deployment, promises, replica, routers
 
-ANSWER_KEPT = 1.0
-"""Seconds for which clients keep what the directory answered."""
+RESOLVE_TTL = 1.0
+"""Seconds for which clients cache an answer of the directory."""
 
-LONG_KEPT = 5.0
-"""The same, of clients with long requests: some go on for longer than the directory allows."""
+LONG_RESOLVE_TTL = 5.0
+"""The same for clients with long requests: some cache it for longer than the directory allows."""
 
 LONG_SHARE = 0.1
-"""Long requests for each short one."""
+"""Rate of long requests as a share of that of short ones."""
 
 LONG_SECONDS = 0.3
-"""Least seconds that replicas work on a long request."""
+"""Minimum seconds that replicas work on a long request."""
 
 WORK_SHARE = 0.7
-"""Most seconds of that, as a part of the client's patience."""
+"""Maximum work on a long request, as a share of the client's timeout."""
 
 SHORT_PATIENCE = 1.5
 LONG_PATIENCE = {'slow': 9.0, 'patient': 9.0, 'resume': 3.0}
-"""Seconds that clients of long requests wait, no longer than their routes allow."""
+"""Timeouts in seconds of clients with long requests, at most those of their routes."""
 
 RESOLVE_TIMEOUT = 1.0
 
 
 class Clients:
-    """Sends requests to routers for as long as they are to; `asked` has what came of them."""
+    """Sends random requests to routers; `asked` has the outcomes."""
 
     def __init__(
         self,
@@ -50,15 +50,15 @@
         self._routers = known
         self._rng = rng
         self._long_rng = random.Random(f'long {seed}')
-        self._named: dict[str, tuple[float, list[str]]] = {}
-        self._asking: set[asyncio.Task[None]] = set()
+        self._resolved: dict[str, tuple[float, list[str]]] = {}
+        self._pending: set[asyncio.Task[None]] = set()
 
     async def run(self, ends_at: float, rate: float) -> None:
-        """Send so many short requests a second, and long ones; return when all have ended."""
+        """Send `rate` short requests a second, and long ones; return when all have ended."""
         await asyncio.gather(
             self._send_short(ends_at, rate), self._send_long(ends_at, rate * LONG_SHARE)
         )
-        await asyncio.gather(*self._asking)
+        await asyncio.gather(*self._pending)
 
     async def _send_short(self, ends_at: float, rate: float) -> None:
         number = 0
@@ -74,25 +74,25 @@
             number += 1
             await asyncio.sleep(self._long_rng.expovariate(rate))
 
-    def _begin(self, asking: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.ensure_future(asking)
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
+    def _begin(self, request: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.ensure_future(request)
+        self._pending.add(task)
+        task.add_done_callback(self._pending.discard)
 
     async def _ask_short(self, id: str) -> None:
         rng = self._rng
         kind = rng.choice(['stream', 'resume', 'safe', 'once'])
         key = rng.choice(['secret-1', 'secret-2'])
-        router = await self._choose_router(rng, f'short {rng.randrange(8)}', ANSWER_KEPT)
-        headers = deployment.make_prompt(rng) if kind in promises.STREAMS else []
+        router = await self._choose_router(rng, f'short {rng.randrange(8)}', RESOLVE_TTL)
+        headers = deployment.make_prompt(rng) if kind in promises.STREAM_KINDS else []
         await self._ask(router, id, kind, key, SHORT_PATIENCE, headers)
 
     async def _ask_long(self, id: str) -> None:
         rng = self._long_rng
         kind = rng.choice(list(LONG_PATIENCE))
         patience = LONG_PATIENCE[kind]
-        router = await self._choose_router(rng, f'long {rng.randrange(8)}', LONG_KEPT)
-        headers = deployment.make_prompt(rng) if kind in promises.STREAMS else []
+        router = await self._choose_router(rng, f'long {rng.randrange(8)}', LONG_RESOLVE_TTL)
+        headers = deployment.make_prompt(rng) if kind in promises.STREAM_KINDS else []
         seconds = rng.uniform(LONG_SECONDS, patience * WORK_SHARE)
         headers.append((replica.WORK_SECONDS, f'{seconds:.2f}'))
         await self._ask(router, id, kind, deployment.KEY, patience, headers)
@@ -109,12 +109,12 @@
         given = deployment.build_headers(id, int(patience * 1000), key)
         request = exchanges.Request('POST', f'/{kind}/x', [*given, *headers], b'question')
         began = clocks.now()
-        seen = await self._running.watch_at(router.client_link.address, request, patience)
+        seen = await self._running.observe_at(router.client_link.address, request, patience)
         seconds = clocks.now() - began
-        echoed = ''
+        echoed_id = ''
         if seen.status:
             assert seen.head is not None
-            echoed = seen.head.get(names.REQUEST_ID) or 'nobody'
+            echoed_id = seen.head.get(names.REQUEST_ID) or 'nobody'
         self.asked.append(
             promises.Asked(
                 id,
@@ -124,7 +124,7 @@
                 seen.status,
                 seen.body,
                 seconds,
-                echoed,
+                echoed_id,
                 router.name,
                 patience,
                 seen.head is not None,
@@ -134,11 +134,11 @@
     async def _choose_router(
         self, rng: random.Random, client: str, kept: float
     ) -> routers.RouterProcess:
-        """Return where a client goes that keeps answers of the directory for a while."""
-        kept_until, addresses = self._named.get(client, (0.0, []))
+        """Choose a router for a client that caches the directory's answer for `kept` seconds."""
+        kept_until, addresses = self._resolved.get(client, (0.0, []))
         if clocks.now() >= kept_until:
             addresses = await self._resolve(rng) or addresses
-            self._named[client] = (clocks.now() + kept, addresses)
+            self._resolved[client] = (clocks.now() + kept, addresses)
         named = [r for r in self._routers if r.caller in addresses]
         return rng.choice(named or self._routers)
 
@@ -149,7 +149,7 @@
             try:
                 answer = await self._running.pool.fetch(router.directory, request, RESOLVE_TIMEOUT)
             except exchanges.ExchangeError:
-                # Another one is asked; clients keep old addresses if none answers.
+                # Try the next router; the client keeps its old addresses if none answers.
                 continue
             if answer.head.status == 200:
                 addresses: list[str] = json.loads(answer.body)['addresses']
--- a/passpier/standins/platform/costs.py
+++ b/passpier/standins/platform/costs.py
@@ -1,7 +1,7 @@
-"""Processor time of router processes, by what they do: at rest, for each request, at a start.
+"""Measures the processor time of router processes: when idle, for each request, and at startup.
 
-Routers run as processes among stand-ins, as in the soak, and nothing goes wrong. The system's own
-accounts of each process are read before and after each phase.
+Routers run as processes against stand-ins, as in the soak, without faults. The processor time of
+each process is read from the operating system before and after each phase.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 from passpier.standins.platform import deployment, replica, routers
 
 TICKS = os.sysconf('SC_CLK_TCK')
-"""Units a second in which the system accounts for processor time."""
+"""Clock ticks a second, the unit of processor time in `/proc`."""
 
 UNKNOWN_KEY = 'secret-of-nobody'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """What one kind of work costs, over all routers."""
+    """The cost of one kind of work, over all routers."""
 
     work: str
     done: int
-    """Requests, or processes."""
+    """Number of requests or processes."""
 
     milliseconds: float
-    """Processor time for each."""
+    """Processor time of each."""
 
     at_rest: float
-    """Of it, what the processes would have taken at rest in the same time."""
+    """The part that idle processes would have used in the same time."""
 
     def render(self) -> str:
         """Return the row as text."""
@@ -47,12 +47,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """All costs of a run."""
+    """The measured costs of a run."""
 
     routers: int
     replicas: int
     idle: float = 0.0
-    """Part of a core that a router takes at rest."""
+    """Share of a core that an idle router uses."""
 
     rows: list[Row] = dataclasses.field(default_factory=list)
 
@@ -66,7 +66,7 @@
 
 
 class Costs:
-    """One run."""
+    """One measurement."""
 
     def __init__(self, seed: int, count: int, replicas: int, rate: float) -> None:
         self._rng = random.Random(seed)
@@ -78,7 +78,7 @@
         self._report = Report(count, replicas)
 
     async def run(self, seconds: float) -> Report:
-        """Measure each kind of work for some seconds."""
+        """Measure each kind of work for `seconds`."""
         with tempfile.TemporaryDirectory(prefix='passpier-costs-') as name:
             async with deployment.running(routers=0) as self._running:
                 try:
@@ -110,10 +110,10 @@
         elapsed = clocks.now() - began
         self._report.idle = (self._read_spent() - before) / elapsed / self._count
         for path in ('/safe/x', '/once/x'):
-            await self._load(f'request {path}', seconds, self._ask(path))
+            await self._measure_load(f'request {path}', seconds, self._ask(path))
         for path in ('/stream/x', '/resume/x'):
-            await self._load(f'request {path}', seconds, self._ask(path, prompt=True))
-        await self._load('refusal, unknown key', seconds, self._ask('/safe/x', UNKNOWN_KEY))
+            await self._measure_load(f'request {path}', seconds, self._ask(path, prompt=True))
+        await self._measure_load('refusal, unknown key', seconds, self._ask('/safe/x', UNKNOWN_KEY))
 
     def _ask(
         self, path: str, key: str = deployment.KEY, prompt: bool = False
@@ -125,7 +125,9 @@
 
         return ask
 
-    async def _load(self, work: str, seconds: float, ask: Callable[[], Awaitable[object]]) -> None:
+    async def _measure_load(
+        self, work: str, seconds: float, ask: Callable[[], Awaitable[object]]
+    ) -> None:
         before, began = self._read_spent(), clocks.now()
         asking = []
         while clocks.now() < began + seconds:
@@ -138,7 +140,7 @@
         self._report.rows.append(Row(work, len(asking), spent, at_rest))
 
     def _read_spent(self) -> float:
-        """Return the processor seconds of all routers."""
+        """Return the processor time of all routers in seconds."""
         return sum(_read_spent(router.popen.pid) for router in self._routers)
 
 
@@ -151,7 +153,7 @@
 def main(
     seed: int = 1, routers: int = 10, replicas: int = 60, rate: float = 60.0, seconds: float = 8.0
 ) -> None:
-    """Print what each kind of work costs; `rate` is in requests a second over all routers."""
+    """Print the cost of each kind of work; `rate` is in requests a second over all routers."""
     print(asyncio.run(Costs(seed, routers, replicas, rate).run(seconds)).render())
 
 
--- a/passpier/standins/platform/deployment.py
+++ b/passpier/standins/platform/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment on loopback in one event loop: store, replicas, routers, an operator."""
+"""A complete deployment on loopback in one event loop: store, replicas and routers."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 MODEL = 'm1'
 KEY = 'secret-1'
 PROMPT_SUBJECTS = 6
-"""Subjects that drawn prompts are about."""
+"""Number of different subjects of random prompts, which share a prefix each."""
 
-UNANSWERED = 2.0
-"""Seconds beyond its patience after which a client gives up."""
+RESPONSE_SLACK = 2.0
+"""Seconds that a client waits beyond the deadline that it sends."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A client's view of an answer."""
+    """A complete response, as a client receives it."""
 
     status: int
     headers: exchanges.Head
@@ -44,8 +44,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
-    """What a client saw, also of an answer that is not whole: then the status is 0."""
+class ObservedReply:
+    """What a client received of a response; the status is 0 if the response is incomplete."""
 
     status: int = 0
     head: exchanges.Head | None = None
@@ -54,15 +54,15 @@
 
 
 class Deployment:
-    """The parts of a deployment, each reachable by tests."""
+    """The components of a deployment, all accessible to tests."""
 
     def __init__(self) -> None:
         self.meta = metastore.MetaStore(clocks.now)
         self.faults = metastore.Faults()
         self.store_address = ''
         self.replicas: dict[str, replica.Replica] = {}
-        self.trap = replica.Replica('trap', 'llm', 'zone-0', MODEL)
-        """Stands at the address of foreign entries, where no request may come."""
+        self.decoy = replica.Replica('trap', 'llm', 'zone-0', MODEL)
+        """Listens at the address in foreign entries, which must not receive any request."""
 
         self.routers: list[router.Router] = []
         self.version = 0
@@ -70,15 +70,15 @@
         self.pool = connections.Pool()
         self._servers: list[tornado.httpserver.HTTPServer] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._started: list[replica.Replica] = []
+        self._started_replicas: list[replica.Replica] = []
         self._ids = 0
 
     async def start(self, routers: int = 1) -> None:
-        """Start the store with a configuration, the usual replicas and some routers."""
+        """Start the store with a configuration, two replicas of each service, and the routers."""
         application = metastore.build_application(self.meta, self.faults)
         self.store_address = self._listen(application)
         self.configure()
-        self._start_replica(self.trap)
+        self._start_replica(self.decoy)
         for number in range(2):
             self.add_replica(replica.Replica(f'llm-{number}', 'llm', f'zone-{number}', MODEL))
             self.add_replica(replica.Replica(f'app-{number}', 'app', f'zone-{number}'))
@@ -87,82 +87,82 @@
         await self.wait_ready()
 
     def configure(self, **changes: Any) -> None:
-        """Put a new configuration in force, as the operator does."""
+        """Apply a new configuration, as the operator does."""
         self.version += 1
         self.configuration = {**self.configuration, **changes, 'version': self.version}
         self.meta.put(names.CONFIGURATION_KEY, self.configuration)
 
     def name_version(self, version: int) -> None:
-        """Name new weights."""
+        """Release new weights, as the operator does."""
         self.meta.put(f'{names.VERSION_PREFIX}{MODEL}', {'model': MODEL, 'version': version})
 
     def add_replica(self, added: replica.Replica) -> None:
-        """Start a replica and record it."""
+        """Start a replica and write its entry."""
         self._start_replica(added)
         self.replicas[added.id] = added
         self.record(added.id)
 
     def crash_replica(self, id: str) -> None:
-        """End a replica's process at once; its entry stays."""
+        """Crash a replica; its entry stays."""
         self.replicas[id].crash()
 
     def make_deadly(self, body: bytes, away: float) -> None:
-        """Have a request with this body end each replica that runs it.
+        """Make every request with this body crash the replica that runs it.
 
-        Each starts again under its id after `away` seconds.
+        A crashed replica restarts under its id after `away` seconds.
         """
         loop = asyncio.get_running_loop()
         for known in self.replicas.values():
-            known.deadly = body
+            known.crash_body = body
             known.on_crash = functools.partial(
                 loop.call_later, away, self.restart_replica, known.id
             )
 
     def restart_replica(self, id: str, version: int | None = None, born: int | None = None) -> None:
-        """Start a replica again under its id, at its address; see `Replica.restart`."""
+        """Restart a replica under its id, at its address; see `Replica.restart`."""
         self.replicas[id].restart(version, born)
         self.record(id)
 
-    def write_foreign(self, count: int, rng: random.Random) -> list[str]:
-        """Write entries of other writers under ids of no replica, and return the ids."""
-        values = list(foreign.build_values(self.trap.render_entry()).values())
+    def write_foreign_entries(self, count: int, rng: random.Random) -> list[str]:
+        """Write malformed entries of other writers under unused ids, and return the ids."""
+        values = list(foreign.build_values(self.decoy.render_entry()).values())
         ids = [f'foreign-{rng.getrandbits(32):x}' for _ in range(count)]
         for id in ids:
             self.meta.put_bytes(names.REPLICA_PREFIX + id, rng.choice(values))
         return ids
 
-    def overwrite(self, id: str, kind: str) -> int:
-        """Have another writer replace a replica's entry; `kind` is one of `foreign.build_values`.
+    def overwrite_entry(self, id: str, kind: str) -> int:
+        """Replace a replica's entry by a malformed one; `kind` is a key of `foreign.build_values`.
 
-        `record` brings the replica's own one back. Returns the store's revision.
+        `record` restores the replica's own entry. Returns the revision of the store.
         """
         values = foreign.build_values(self.replicas[id].render_entry())
         return self.meta.put_bytes(names.REPLICA_PREFIX + id, values[kind])
 
-    def get_revision(self, id: str) -> int:
-        """Return the revision at which a replica's entry was last written; 0 if there is none."""
+    def get_entry_revision(self, id: str) -> int:
+        """Return the revision of a replica's entry; 0 if there is none."""
         item = self.meta.items.get(names.REPLICA_PREFIX + id)
         return item.revision if item else 0
 
-    def is_recorded(self, id: str) -> bool:
-        """Return whether there is an entry under a replica's id."""
-        return self.get_revision(id) > 0
+    def has_entry(self, id: str) -> bool:
+        """Return whether an entry exists under a replica's id."""
+        return self.get_entry_revision(id) > 0
 
     def record(self, id: str) -> None:
         """Write a replica's entry."""
         self.meta.put(names.REPLICA_PREFIX + id, self.replicas[id].render_entry())
 
     def remove_replica(self, id: str) -> None:
-        """Let a replica's entry vanish."""
+        """Remove a replica's entry; the replica keeps running."""
         self.meta.remove(names.REPLICA_PREFIX + id)
 
     def go_dark(self, id: str) -> None:
-        """Let a replica answer nothing any more."""
-        self.replicas[id].faults.dark = True
+        """Make a replica leave every call unanswered."""
+        self.replicas[id].faults.unreachable = True
 
     def go_light(self, id: str) -> None:
-        """Let a replica answer again."""
-        self.replicas[id].faults.dark = False
+        """Make a replica answer again."""
+        self.replicas[id].faults.unreachable = False
 
     def add_router(self, name: str, zone: str, **changes: Any) -> router.Router:
         """Start a router."""
@@ -182,35 +182,38 @@
         return process
 
     async def wait_ready(self, bound: float = 5.0) -> None:
-        """Wait until all routers know the configuration and see each other."""
+        """Wait until all routers are ready and know each other and all replicas."""
         async with asyncio.timeout(bound):
             while not all(r.is_ready() and self._sees_all(r) for r in self.routers):
                 await asyncio.sleep(0.01)
 
     async def wait_settled(self, bound: float = 15.0) -> None:
-        """Wait until the routers have been up for long enough to use their part of all retries."""
+        """Wait until the routers count the actual number of routers for their retry budget.
+
+        Until then each assumes `router.DAEMONS_AT_START` of them.
+        """
         async with asyncio.timeout(bound):
             while any(r.forwarder.daemons >= router.DAEMONS_AT_START for r in self.routers):
                 await asyncio.sleep(0.05)
 
     async def wait_ended(self, process: router.Router) -> None:
-        """Wait until a router has ended; raises what ended it."""
+        """Wait until a router has ended; raises its exception."""
         await self._tasks[self.routers.index(process)]
 
     async def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop everything immediately."""
         for process in self.routers:
             process.force_stop()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for server in self._servers:
             server.stop()
-        for known in self._started:
+        for known in self._started_replicas:
             if known.server is not None:
                 known.server.stop()
         self.pool.close()
 
     async def ask(self, path: str, entry: int = 0, **given: Any) -> Reply:
-        """Send a client's request to a router and return the whole answer; see `ask_at`."""
+        """Send a client request to a router and return the complete response; see `ask_at`."""
         return await self.ask_at(self.routers[entry].options.caller, path, **given)
 
     async def ask_at(
@@ -225,19 +228,21 @@
         host: str = HOST,
         method: str = 'POST',
     ) -> Reply:
-        """Send a client's request to an address and return the whole answer."""
+        """Send a client request to an address and return the complete response."""
         self._ids += 1
         given = build_headers(id or f'r{self._ids}', patience_ms, key, host)
         request = exchanges.Request(method, path, [*given, *headers], body)
-        answer = await self.pool.fetch(address, request, patience_ms / 1000 + UNANSWERED)
+        answer = await self.pool.fetch(address, request, patience_ms / 1000 + RESPONSE_SLACK)
         return Reply(answer.head.status, answer.head, answer.body)
 
-    async def watch_at(self, address: str, request: exchanges.Request, patience: float) -> Seen:
-        """Send a client's request to an address and return what of the answer came."""
-        seen = Seen()
+    async def observe_at(
+        self, address: str, request: exchanges.Request, patience: float
+    ) -> ObservedReply:
+        """Send a client request to an address and return what arrives of the response."""
+        seen = ObservedReply()
         exchange: exchanges.Exchange | None = None
         try:
-            async with asyncio.timeout(patience + UNANSWERED):
+            async with asyncio.timeout(patience + RESPONSE_SLACK):
                 exchange = await self.pool.open(address, request)
                 seen.head = await exchange.read_head()
                 answer = await exchange.read_all()
@@ -252,7 +257,7 @@
         return seen
 
     def list_runs(self, id: str) -> list[replica.Run]:
-        """Return all runs of a request, wherever."""
+        """Return all runs of a request, on any replica."""
         return [r for known in self.replicas.values() for r in known.runs if r.id == id]
 
     def _sees_all(self, process: router.Router) -> bool:
@@ -265,7 +270,7 @@
         started.port = processes.pick_port()
         started.listen()
         started.address = f'127.0.0.1:{started.port}'
-        self._started.append(started)
+        self._started_replicas.append(started)
 
     def _listen(self, application: tornado.web.Application) -> str:
         sockets = tornado.netutil.bind_sockets(0, '127.0.0.1')
@@ -278,7 +283,7 @@
 def build_headers(
     id: str, patience_ms: int, key: str | None = KEY, host: str = HOST
 ) -> list[tuple[str, str]]:
-    """Return the headers that each request of a client has."""
+    """Return the headers of every client request."""
     headers = [('Host', host), (names.REQUEST_ID, id), (names.DEADLINE, str(patience_ms))]
     if key is not None:
         headers.append((names.KEY, names.KEY_SCHEME + key))
@@ -292,7 +297,7 @@
     headers: Sequence[tuple[str, str]] = (),
     body: bytes = b'',
 ) -> bytes:
-    """Return a request as bytes, for clients that keep to themselves when they leave."""
+    """Return a request as bytes, for clients that use a socket directly."""
     length = ('Content-Length', str(len(body)))
     given = [*build_headers(id, patience_ms), length, *headers]
     lines = [f'POST {path} HTTP/1.1', *(f'{name}: {value}' for name, value in given), '', '']
@@ -300,14 +305,14 @@
 
 
 def make_prompt(rng: random.Random) -> list[tuple[str, str]]:
-    """Return the headers of a prompt about one of a few subjects, with an end of its own."""
+    """Return the headers of a prompt that shares a random prefix and has a unique last part."""
     subject = rng.randrange(PROMPT_SUBJECTS)
     parts = f'aa:800,b{subject}:400,c{rng.getrandbits(32):x}:200'
     return [(names.MODEL, MODEL), (names.TOKENS, '1400,20'), (names.PARTS, parts)]
 
 
 def build_configuration() -> dict[str, Any]:
-    """Return a configuration with a route of each kind."""
+    """Return a configuration with routes of each type."""
 
     def route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
         return {
@@ -353,7 +358,7 @@
 
 
 def build_options(name: str, zone: str) -> routing.Options:
-    """Return options for a router on loopback, with short bounds."""
+    """Return options for a router on loopback, with short time limits."""
     ports = [processes.pick_port() for _ in range(4)]
     return routing.Options(
         name=name,
@@ -382,7 +387,7 @@
 
 @asynccontextmanager
 async def running(routers: int = 1) -> AsyncIterator[Deployment]:
-    """Start a deployment and stop it in the end."""
+    """Start a deployment and stop it at the end of the context."""
     deployment = Deployment()
     try:
         await deployment.start(routers)
--- a/passpier/standins/platform/foreign.py
+++ b/passpier/standins/platform/foreign.py
@@ -1,4 +1,7 @@
-"""Entries as other writers leave them among those of replicas: they name no replica to use."""
+"""Malformed entries, as other writers leave them among those of replicas.
+
+Routers must not use any of them as a replica.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
     int: ('7', None, True),
     list: ('text', {}, None, [7], [{'name': 7, 'version': 'text'}]),
 }
-"""Values of other types than a field has."""
+"""Values of wrong types, by the correct type of a field."""
 
 UNREADABLE: Mapping[str, bytes] = {
     'empty': b'',
@@ -25,7 +28,7 @@
 
 
 def build_values(entry: Mapping[str, object]) -> dict[str, bytes]:
-    """Return what other writers make of a sound entry, each by the name of what is wrong."""
+    """Return malformed variants of a valid entry, by a description of the defect."""
     values = dict(UNREADABLE)
     for field, value in entry.items():
         rest = {name: kept for name, kept in entry.items() if name != field}
--- a/passpier/standins/platform/leaving.py
+++ b/passpier/standins/platform/leaving.py
@@ -1,8 +1,8 @@
-"""Measures how soon upstreams learn that the client they work for has left.
+"""Measures how soon upstreams learn that the client of a request has disconnected.
 
-Routers run as processes; clients ask them for work that takes a second or two, and close their
-connections at drawn moments, many of them at once. Stand-in replicas note when each request came
-and when it was dropped.
+Routers run as processes. Clients send requests that take a second or two and close their
+connections at random times, many of them at once. Stand-in replicas record when each request
+arrived and when it was aborted.
 """
 
 from __future__ import annotations
@@ -19,17 +19,18 @@
 from passpier import clocks
 from passpier.standins.platform import deployment, replica, routers
 
-WORK = 1.5
-"""Seconds that a replica works on a request; streams go on for about as long after their head."""
+WORK_SECONDS = 1.5
+"""Seconds that a replica works on a request before the response head; a stream then takes about as
+long again."""
 
-EVENTS = 160
-"""Events of a stream, 5 ms apart."""
+EVENT_COUNT = 160
+"""Number of events of a stream, 5 ms apart."""
 
-WAVE = 0.1
-"""Seconds within which the clients of one wave leave."""
+WAVE_SECONDS = 0.1
+"""Seconds within which all clients of a wave disconnect."""
 
 BOUND = 0.5
-"""Seconds after a client has left within which its upstream should know."""
+"""Seconds after a disconnect within which the upstream should be notified."""
 
 KINDS = ('safe', 'once', 'stream', 'resume')
 PATIENCE_MS = 5000
@@ -38,21 +39,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """What was seen; times are in seconds."""
+    """The result of a measurement; times are in seconds."""
 
     asked: int = 0
     learnt_after: list[float] = dataclasses.field(default_factory=list)
-    """For each request that would have run for longer than the bound after its client had left."""
+    """Times until the notification, of requests that would have run beyond the bound."""
 
     never_learnt: int = 0
     late_arrivals: int = 0
-    """Requests that reached a replica later than the bound after their client had left."""
+    """Requests that reached a replica later than the bound after the disconnect."""
 
     broken_off: int = 0
-    """Requests that run only once and were broken off."""
+    """Requests that may run at most once and were aborted."""
 
     def compute_share(self) -> float:
-        """Return the share of ended work that was learnt of within the bound."""
+        """Return the share of notifications that arrived within the bound."""
         count = len(self.learnt_after) + self.never_learnt
         return sum(s <= BOUND for s in self.learnt_after) / count if count else 1.0
 
@@ -82,13 +83,13 @@
         self._left_at: dict[str, float] = {}
 
     async def run(self) -> Report:
-        """Start all, let clients come and leave, and report."""
+        """Start everything, let clients connect and disconnect, and report."""
         with tempfile.TemporaryDirectory(prefix='passpier-leaving-') as name:
             try:
                 await self._start(pathlib.Path(name))
                 for number in range(self._waves):
-                    await self._play_wave(number)
-                await asyncio.sleep(WORK + EVENTS * replica.EVENT_PAUSE + BOUND)
+                    await self._run_wave(number)
+                await asyncio.sleep(WORK_SECONDS + EVENT_COUNT * replica.EVENT_PAUSE + BOUND)
                 return self._report()
             finally:
                 for router in self._routers:
@@ -98,7 +99,7 @@
     async def _start(self, folder: pathlib.Path) -> None:
         await self._deployment.start(routers=0)
         for known in self._deployment.replicas.values():
-            known.work, known.events, known.slots = WORK, EVENTS, 10 * self._clients
+            known.work, known.events, known.slots = WORK_SECONDS, EVENT_COUNT, 10 * self._clients
             self._deployment.record(known.id)
         for number in range(self._count):
             router = routers.RouterProcess(number, folder, self._deployment.store_address)
@@ -108,15 +109,15 @@
             while not all([await r.is_ready(self._deployment.pool) for r in self._routers]):
                 await asyncio.sleep(0.1)
 
-    async def _play_wave(self, wave: int) -> None:
-        leaves_at = clocks.now() + self._rng.uniform(0.3, WORK / 2)
+    async def _run_wave(self, wave: int) -> None:
+        leaves_at = clocks.now() + self._rng.uniform(0.3, WORK_SECONDS / 2)
         tasks = [
-            self._come_and_leave(f'w{wave}-{n}', leaves_at + self._rng.uniform(0.0, WAVE))
+            self._send_and_leave(f'w{wave}-{n}', leaves_at + self._rng.uniform(0.0, WAVE_SECONDS))
             for n in range(self._clients)
         ]
         await asyncio.gather(*tasks)
 
-    async def _come_and_leave(self, id: str, leaves_at: float) -> None:
+    async def _send_and_leave(self, id: str, leaves_at: float) -> None:
         kind = self._rng.choice(KINDS)
         host, _, port = self._rng.choice(self._routers).caller.rpartition(':')
         _, writer = await asyncio.open_connection(host, int(port))
@@ -133,14 +134,18 @@
     def _report(self) -> Report:
         report = Report(len(self._left_at))
         known = list(self._deployment.replicas.values())
-        dropped = {id: at for r in known for id, at in r.dropped_at.items()}
+        dropped = {id: at for r in known for id, at in r.abandoned_at.items()}
         for run in (run for r in known for run in r.runs if run.id in self._left_at):
             left_at = self._left_at[run.id]
             report.late_arrivals += run.at > left_at + BOUND
             if run.id.startswith('once'):
                 report.broken_off += run.id in dropped
                 continue
-            takes = WORK if run.id.startswith('safe') else WORK + EVENTS * replica.EVENT_PAUSE
+            takes = (
+                WORK_SECONDS
+                if run.id.startswith('safe')
+                else WORK_SECONDS + EVENT_COUNT * replica.EVENT_PAUSE
+            )
             if run.at + takes <= left_at + BOUND:
                 continue
             if run.id in dropped:
@@ -153,8 +158,8 @@
 def main(
     seed: int = 1, count: int = 1, clients: int = 150, waves: int = 4, routers: int = 2
 ) -> None:
-    """Measure `count` seeds from `seed` on, each with some waves of clients that leave."""
-    # The stand-ins write to callers that have left; each would be logged.
+    """Measure `count` seeds from `seed` on, each with some waves of clients that disconnect."""
+    # The stand-ins write to closed connections, and tornado would log each of them.
     logging.disable(logging.CRITICAL)
     for number in range(seed, seed + count):
         report = asyncio.run(Leaving(number, clients, waves, routers).run())
--- a/passpier/standins/platform/metastore.py
+++ b/passpier/standins/platform/metastore.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store: items, leases, watches, history; with fault switches."""
+"""Stand-in for the platform's store: items, leases, watches, history; with fault injection."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 import tornado.web
 
-PAGE = 500
-"""Items in one page of a range."""
+PAGE_SIZE = 500
+"""Maximum number of items in one page of a range."""
 
 
 @dataclasses.dataclass(slots=True)
 class Item:
-    """A key's value."""
+    """The value of a key with its revisions and lease."""
 
     value: str
     revision: int
@@ -27,15 +27,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What is wrong with the store; delays in seconds."""
+    """Faults of the store; delays in seconds."""
 
     down: bool = False
     delay: float = 0.0
     lose_answers: int = 0
-    """Writing calls that take effect and are not answered."""
+    """Transactions that take effect and are not answered."""
 
     late_effects: int = 0
-    """Writing calls that are not answered and take effect after `late_by`."""
+    """Transactions that are not answered and take effect after `late_by`."""
 
     late_by: float = 0.5
     refuse: int = 0
@@ -43,28 +43,28 @@
 
 
 class MetaStore:
-    """The store's state; `clock` gives seconds."""
+    """The state of the store; `clock` returns seconds."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self.items: dict[str, Item] = {}
         self.revision = 0
         self.oldest = 0
-        """Revision up to which the history is gone."""
+        """Revision up to which the history has been compacted."""
 
         self.history: list[dict[str, Any]] = []
         self.leases: dict[int, tuple[float, float]] = {}
-        """Lease to its length and its end."""
+        """Duration and expiry time by lease."""
 
         self._changed: list[asyncio.Future[None]] = []
         self._next_lease = 1000
 
     def put(self, key: str, value: Any, lease: int = 0) -> int:
-        """Write one item as the platform's own parts do."""
+        """Write one item as JSON, as the platform's own components do."""
         return self.put_bytes(key, json.dumps(value).encode(), lease)
 
     def put_bytes(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write one item of any bytes."""
+        """Write one item with arbitrary bytes."""
         self.revision += 1
         self._write(key, base64.b64encode(value).decode(), lease)
         return self.revision
@@ -75,13 +75,13 @@
         self._remove(key)
 
     def forget_history(self) -> None:
-        """Drop all history; watches behind it get 410."""
+        """Compact the whole history; watches from older revisions get 410."""
         self.oldest = self.revision
         self.history.clear()
-        self._wake()
+        self._notify()
 
     def transact(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """Carry out a transaction; return status and answer."""
+        """Execute a transaction; return the HTTP status and the response body."""
         self.expire()
         conditions = body.get('expected_revision', [])
         for row in conditions:
@@ -99,13 +99,13 @@
         return 200, {'revision': self.revision}
 
     def grant(self, ttl: float) -> int:
-        """Return a new lease."""
+        """Grant a lease and return its id."""
         self._next_lease += 1
         self.leases[self._next_lease] = (ttl, self._clock() + ttl)
         return self._next_lease
 
     def renew(self, lease: int) -> bool:
-        """Renew a lease; return false if it is over."""
+        """Renew a lease; return false if it has expired."""
         self.expire()
         if lease not in self.leases:
             return False
@@ -113,21 +113,21 @@
         self.leases[lease] = (ttl, self._clock() + ttl)
         return True
 
-    def end(self, lease: int) -> None:
-        """End a lease; its keys go with it."""
+    def revoke(self, lease: int) -> None:
+        """Revoke a lease and remove its keys."""
         if self.leases.pop(lease, None) is None:
             return
         for key in [k for k, i in self.items.items() if i.lease == lease]:
             self.remove(key)
 
     def expire(self) -> None:
-        """End the leases that have run out."""
+        """Revoke the leases that have expired."""
         now = self._clock()
         for lease in [i for i, (_, ends_at) in self.leases.items() if ends_at <= now]:
-            self.end(lease)
+            self.revoke(lease)
 
     def list_changes(self, prefix: str, after: int) -> list[dict[str, Any]] | None:
-        """Return the changes behind a revision; none if the history is gone."""
+        """Return the changes after a revision; None if the history before it was compacted."""
         self.expire()
         if after < self.oldest:
             return None
@@ -136,7 +136,7 @@
         ]
 
     async def wait(self, seconds: float) -> None:
-        """Wait for a change, at most for so long."""
+        """Wait for a change, for at most `seconds`."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._changed.append(future)
         await asyncio.wait([future], timeout=seconds)
@@ -144,7 +144,7 @@
             self._changed.remove(future)
 
     def render(self, key: str) -> dict[str, Any]:
-        """Return an item as it is sent."""
+        """Return an item in its wire format."""
         item = self.items[key]
         return {
             'private_key': key,
@@ -159,14 +159,14 @@
         created = before.created if before else self.revision
         self.items[key] = Item(value, self.revision, created, lease)
         self.history.append(self.render(key))
-        self._wake()
+        self._notify()
 
     def _remove(self, key: str) -> None:
         if self.items.pop(key, None) is not None:
             self.history.append({'private_key': key, 'revision': self.revision, 'removed': True})
-            self._wake()
+            self._notify()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         for future in self._changed:
             if not future.done():
                 future.set_result(None)
@@ -200,8 +200,8 @@
         keys = sorted(k for k in self.store.items if k.startswith(prefix) and k > after)
         self.write(
             {
-                'items': [self.store.render(k) for k in keys[:PAGE]],
-                'truncated': len(keys) > PAGE,
+                'items': [self.store.render(k) for k in keys[:PAGE_SIZE]],
+                'truncated': len(keys) > PAGE_SIZE,
                 'store_revision': self.store.revision,
             }
         )
@@ -223,7 +223,7 @@
             left = ends_at - loop.time()
             if events or left <= 0:
                 break
-            # Leases run out unseen, so that it has to look now and then.
+            # The expiry of a lease wakes no waiter, so the store is polled.
             await self.store.wait(min(left, 0.05))
         self.write({'events': events, 'store_revision': self.store.revision})
 
@@ -250,21 +250,21 @@
         self.write({'lease': self.store.grant(ttl / 1000), 'ttl_ms': ttl})
 
 
-class _Keep(_Handler):
+class _KeepAlive(_Handler):
     def post(self, lease: str) -> None:
         if not self.store.renew(int(lease)):
             self.set_status(404)
         self.write({'ttl_ms': 0})
 
 
-class _End(_Handler):
+class _Revoke(_Handler):
     def delete(self, lease: str) -> None:
-        self.store.end(int(lease))
+        self.store.revoke(int(lease))
         self.write({})
 
 
 def build_application(store: MetaStore, faults: Faults) -> tornado.web.Application:
-    """Return the store's HTTP interface."""
+    """Return the store's HTTP application."""
     state = {'store': store, 'faults': faults}
     return tornado.web.Application(
         [
@@ -272,7 +272,7 @@
             ('/kv-watch', _Watch, state),
             ('/kv-txn', _Transaction, state),
             ('/kv-lease', _Lease, state),
-            (r'/kv-keep/(\d+)', _Keep, state),
-            (r'/kv-lease-end/(\d+)', _End, state),
+            (r'/kv-keep/(\d+)', _KeepAlive, state),
+            (r'/kv-lease-end/(\d+)', _Revoke, state),
         ]
     )
--- a/passpier/standins/platform/play.py
+++ b/passpier/standins/platform/play.py
@@ -1,8 +1,8 @@
-"""Plays seeded load and trouble against a deployment on loopback, and checks promises from outside.
+"""Runs seeded load and faults against a deployment on loopback, and checks invariants from outside.
 
-What is judged is what clients and replicas saw: a request that may run only once ran once, a
-refusal that promises "not run" did not run, answers are whole and the client's own, keys that were
-taken away run nothing, one router gives orders at a time.
+The checks use what clients and replicas observed: a request that may run at most once ran at most
+once, a request refused as "not run" did not run, responses are complete and belong to their
+request, revoked keys run nothing, and only one router sends orders at a time.
 """
 
 from __future__ import annotations
@@ -19,36 +19,36 @@
 from passpier import clocks
 from passpier.clients import exchanges
 from passpier.platform import names
-from passpier.standins.platform import deployment, promises, replica, signals
+from passpier.standins.platform import backpressure, deployment, promises, replica
 
-TROUBLE_PAUSE = 0.25
-"""Mean seconds between two troubles, which overlap."""
+MEAN_FAULT_INTERVAL = 0.25
+"""Mean seconds between the starts of two faults, which may overlap."""
 
 REVOKE_AFTER = 6
-"""Troubles after which a key may be taken away."""
+"""Number of faults after which a key may be revoked."""
 
-SETTLE = 1.5
-"""Seconds after the last trouble in which everything has to be well again."""
+SETTLE_SECONDS = 1.5
+"""Seconds between the start of the last fault and the end of the load."""
 
-REPLACED_WITHIN = 0.5
-"""Seconds until all routers know that another process has a replica's address."""
+REPLACEMENT_SECONDS = 0.5
+"""Seconds until all routers know that another replica has taken over an address."""
 
 ORDER_GAP = 0.5
-"""Seconds between orders of two routers, as the deployment's options ask for."""
+"""Minimum seconds between orders of two routers, as in the deployment's options."""
 
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """What a play showed."""
+    """The result of a run."""
 
     seed: int
     asked: list[promises.Asked] = dataclasses.field(default_factory=list)
-    troubles: list[str] = dataclasses.field(default_factory=list)
+    faults: list[str] = dataclasses.field(default_factory=list)
     broken: list[str] = dataclasses.field(default_factory=list)
 
     def render(self) -> str:
         """Return the report as text."""
-        lines = [f'seed {self.seed}: {len(self.asked)} requests, {len(self.troubles)} troubles']
+        lines = [f'seed {self.seed}: {len(self.asked)} requests, {len(self.faults)} troubles']
         kinds = sorted({a.kind for a in self.asked})
         for kind in kinds:
             mine = [a for a in self.asked if a.kind == kind]
@@ -62,7 +62,7 @@
 
 
 class Play:
-    """One play."""
+    """One run with a seed."""
 
     def __init__(
         self, running: deployment.Deployment, seed: int, rate: float, asks: bool = False
@@ -73,32 +73,34 @@
         self._revoked_at: dict[str, float] = {}
         self._version = 1
         self._spare = 0
-        self._asks = asks
+        self._with_signals = asks
         self._disturbances: list[promises.Disturbance] = []
-        self._signals = signals.SignalTroubles(running, self, random.Random(f'signal {seed}'))
+        self._backpressure = backpressure.BackpressureInjector(
+            running, self, random.Random(f'signal {seed}')
+        )
         self.report = Report(seed)
 
-    def note(self, what: str, seconds: float | None = None) -> None:
-        """Write down a trouble."""
-        self.report.troubles.append(what)
+    def log_fault(self, what: str, seconds: float | None = None) -> None:
+        """Record a fault."""
+        self.report.faults.append(what)
 
     async def run(self, seconds: float) -> Report:
-        """Play for so long, then check."""
+        """Run load and faults for `seconds`, then check the invariants."""
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + seconds
-        series = [self._trouble(ends_at - SETTLE)]
-        if self._asks:
-            series.append(self._signals.run(ends_at))
-        trouble = asyncio.gather(*series)
-        asking: set[asyncio.Task[None]] = set()
+        series = [self._inject_faults(ends_at - SETTLE_SECONDS)]
+        if self._with_signals:
+            series.append(self._backpressure.run(ends_at))
+        faults = asyncio.gather(*series)
+        pending: set[asyncio.Task[None]] = set()
         number = 0
         while loop.time() < ends_at:
             task = asyncio.ensure_future(self._ask(number))
-            asking.add(task)
-            task.add_done_callback(asking.discard)
+            pending.add(task)
+            task.add_done_callback(pending.discard)
             number += 1
             await asyncio.sleep(self._rng.expovariate(self._rate))
-        await asyncio.gather(trouble, *asking)
+        await asyncio.gather(faults, *pending)
         self._check()
         return self.report
 
@@ -108,7 +110,7 @@
         entry = self._rng.randrange(len(self._running.routers))
         headers = deployment.make_prompt(self._rng) if kind in ('stream', 'resume') else []
         began = clocks.now()
-        status, body, echoed = 0, b'', ''
+        status, body, echoed_id = 0, b'', ''
         id = f'n{number}'
         router = self._running.routers[entry].options.name
         try:
@@ -116,60 +118,60 @@
                 f'/{kind}/x', entry, id=id, key=key, headers=headers, patience_ms=1500
             )
             status, body = reply.status, reply.body
-            echoed = reply.headers.get(names.REQUEST_ID) or 'nobody'
+            echoed_id = reply.headers.get(names.REQUEST_ID) or 'nobody'
         except exchanges.ExchangeError:
-            # A closed connection promises nothing; what ran is judged at the replicas.
+            # A closed connection guarantees nothing; the replicas know what ran.
             status = 0
         seconds = clocks.now() - began
         self.report.asked.append(
-            promises.Asked(id, kind, key, began, status, body, seconds, echoed, router)
+            promises.Asked(id, kind, key, began, status, body, seconds, echoed_id, router)
         )
 
-    async def _trouble(self, ends_at: float) -> None:
+    async def _inject_faults(self, ends_at: float) -> None:
         loop = asyncio.get_running_loop()
         kinds: list[Callable[[], Awaitable[None]]] = [
-            self._spoil_answers,
-            self._spoil_answers,
-            self._spoil_answers,
+            self._inject_replica_fault,
+            self._inject_replica_fault,
+            self._inject_replica_fault,
             self._silence_replica,
             self._replace_replica,
             self._drain_replica,
             self._take_store_down,
             self._lose_store_answers,
-            self._forget_history,
-            self._name_version,
+            self._compact_history,
+            self._release_version,
             self._revoke_key,
             self._stop_router,
         ]
-        begun: list[asyncio.Task[None]] = []
+        started: list[asyncio.Task[None]] = []
         while loop.time() < ends_at:
-            trouble = self._rng.choice(kinds)
-            self.report.troubles.append(trouble.__name__.removeprefix('_'))
-            begun.append(asyncio.ensure_future(_run(trouble)))
-            await asyncio.sleep(self._rng.expovariate(1 / TROUBLE_PAUSE))
-        await asyncio.gather(*begun)
+            fault = self._rng.choice(kinds)
+            self.report.faults.append(fault.__name__.removeprefix('_'))
+            started.append(asyncio.ensure_future(_run(fault)))
+            await asyncio.sleep(self._rng.expovariate(1 / MEAN_FAULT_INTERVAL))
+        await asyncio.gather(*started)
         self._running.faults.down = False
 
     def _pick(self) -> replica.Replica:
         return self._rng.choice(list(self._running.replicas.values()))
 
-    async def _spoil_answers(self) -> None:
-        fault = self._rng.choice(['refuse', 'fail', 'lose', 'cut', 'swap', 'lie'])
+    async def _inject_replica_fault(self) -> None:
+        fault = self._rng.choice(['refuse', 'fail', 'lose', 'cut', 'swap_id', 'fail_503'])
         setattr(self._pick().faults, fault, self._rng.randint(2, 6))
 
     async def _silence_replica(self) -> None:
         chosen = self._pick()
         began = clocks.now()
-        chosen.faults.dark = True
+        chosen.faults.unreachable = True
         await asyncio.sleep(self._rng.uniform(0.2, 1.5))
-        chosen.faults.dark = False
+        chosen.faults.unreachable = False
         self._disturbances.append(promises.Disturbance(chosen.id, began, clocks.now()))
 
     async def _replace_replica(self) -> None:
         chosen = self._pick()
         chosen.id = f'{chosen.id}-again'
         now = clocks.now()
-        self._disturbances.append(promises.Disturbance(chosen.id, now, now + REPLACED_WITHIN))
+        self._disturbances.append(promises.Disturbance(chosen.id, now, now + REPLACEMENT_SECONDS))
         self._running.replicas = {r.id: r for r in self._running.replicas.values()}
         self._running.record(chosen.id)
         await asyncio.sleep(self._rng.uniform(0.0, 0.5))
@@ -179,7 +181,7 @@
         await self.begin_replacement(self._pick())
 
     async def begin_replacement(self, chosen: replica.Replica) -> None:
-        """Add a replica of the same kind, and have the chosen one drain."""
+        """Add a replica of the same service, and let the chosen one drain."""
         self._spare += 1
         fresh = replica.Replica(
             f'spare-{self._spare}', chosen.service, chosen.zone, chosen.model, chosen.version
@@ -198,16 +200,16 @@
         faults.lose_answers = self._rng.randint(0, 3)
         faults.late_effects = self._rng.randint(0, 3)
 
-    async def _forget_history(self) -> None:
+    async def _compact_history(self) -> None:
         self._running.meta.forget_history()
 
-    async def _name_version(self) -> None:
+    async def _release_version(self) -> None:
         self._version += 1
         self._running.name_version(self._version)
 
     async def _revoke_key(self) -> None:
-        # Not early, or half of the requests would test nothing else any more.
-        if len(self.report.troubles) > REVOKE_AFTER and 'secret-2' not in self._revoked_at:
+        # Not early: half of the requests use this key and are only refused afterwards.
+        if len(self.report.faults) > REVOKE_AFTER and 'secret-2' not in self._revoked_at:
             accounts = self._running.configuration['tenants']
             self._running.configure(tenants=accounts[:1])
             self._revoked_at['secret-2'] = clocks.now()
@@ -229,19 +231,19 @@
         self.report.broken += promises.find_broken_signals(
             self.report.asked,
             self._running.replicas.values(),
-            self._signals.limits,
+            self._backpressure.limits,
             self._disturbances,
         )
 
 
-async def _run(trouble: Callable[[], Awaitable[None]]) -> None:
-    await trouble()
+async def _run(fault: Callable[[], Awaitable[None]]) -> None:
+    await fault()
 
 
 async def play(
     seed: int, seconds: float, rate: float, routers: int = 3, asks: bool = False
 ) -> Report:
-    """Play one seed against a new deployment; with `asks` replicas ask for less in answers."""
+    """Run one seed on a new deployment; with `asks` replicas send backpressure signals."""
     async with deployment.running(routers) as running:
         return await Play(running, seed, rate, asks).run(seconds)
 
@@ -249,7 +251,7 @@
 def main(
     seed: int = 1, count: int = 1, seconds: float = 8.0, rate: float = 60.0, asks: bool = False
 ) -> None:
-    """Play `count` seeds from `seed` on, `rate` requests a second; exit with 1 on a break."""
+    """Run `count` seeds from `seed` on, `rate` requests a second; exit with 1 on a violation."""
     broken = 0
     for number in range(seed, seed + count):
         report = asyncio.run(play(number, seconds, rate, asks=asks))
--- a/passpier/standins/platform/promises.py
+++ b/passpier/standins/platform/promises.py
@@ -1,4 +1,4 @@
-"""What the platform's users were promised, checked by what their clients and replicas saw."""
+"""Invariants of the routers, checked against what clients and replicas observed."""
 
 from __future__ import annotations
 
@@ -11,69 +11,69 @@
 from passpier.standins.platform import replica
 
 NOT_RUN = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request has not run and never will."""
+"""Statuses that guarantee that a request has not run and never will."""
 
-THAW_SECONDS = 0.3
-"""Seconds after a pause in which an order may have been on its way since before the pause."""
+RESUMED_ORDER_GRACE = 0.3
+"""Seconds after a pause in which an order may arrive that was sent before the pause."""
 
-CONTACT = 3.0
-"""Seconds after a router's start, its standing still, or a disturbance of a link to a replica, for
-which it is not held to bounds."""
+DISTURBANCE_GRACE = 3.0
+"""Seconds after a router's start or pause, or a disturbed link to a replica, in which time limits
+are not checked."""
 
-ONCE = frozenset({'once', 'stream', 'slow', 'patient'})
-"""Kinds of requests that may run only once."""
+RUN_ONCE_KINDS = frozenset({'once', 'stream', 'slow', 'patient'})
+"""Request kinds that may run at most once."""
 
-STREAMS = frozenset({'stream', 'resume', 'patient'})
+STREAM_KINDS = frozenset({'stream', 'resume', 'patient'})
 
-DISTURBED_BEFORE = 1.0
-"""Seconds after unplanned trouble in which a cut request is not put down to planned work."""
+UNPLANNED_FAULT_GRACE = 1.0
+"""Seconds after an unplanned fault in which a cut request is not attributed to planned work."""
 
-LOSS_SLACK = 0.2
-"""Seconds after it was sent in which a request that no replica got may cross the close of its
-connection."""
+CLOSE_RACE_SECONDS = 0.2
+"""Seconds after sending in which a request that reached no replica may have raced with the close of
+its connection."""
 
-LAST_MOMENT = 0.5
-"""Seconds before the end of a stopped process in which it may read nothing any more. Traced: its
-event loop ended 0.16 s before the process, and the request was in none of its logs."""
+UNREAD_BEFORE_EXIT = 0.5
+"""Seconds before the exit of a stopped process in which it may leave requests unread. An event loop
+was seen to end 0.16 s before its process, which had not logged the request."""
 
-TAKEN_WITHIN = 3.0
-"""Seconds after SIGTERM up to which a request that was sent may be too long for the stop."""
+ACCEPTED_AFTER_STOP = 3.0
+"""Seconds after SIGTERM in which a request may be sent that is too long for the grace period."""
 
-LEFT_WITHIN = 2.0
-"""Seconds after a replica is no longer named in which requests may still reach it."""
+REMOVAL_GRACE = 2.0
+"""Seconds after the removal of a replica's entry in which requests may still reach it."""
 
-LAST_PART = 5 / 6
-"""Part of the grace period behind which a stream that still runs may be cut."""
+STREAM_GRACE_SHARE = 5 / 6
+"""Share of the grace period after which a running stream may be cut."""
 
 LIMIT_WINDOW = 4.0
-"""Seconds in which the requests are counted that reach a replica which names a limit."""
+"""Seconds of the window in which requests to a replica with a limit are counted."""
 
 LIMIT_SHARE = 1.5
-"""Part of what the limit allows in a window that may reach it, beside `LIMIT_SLACK` requests."""
+"""Tolerated requests in a window as a multiple of the limit, plus `LIMIT_SLACK` requests."""
 
 LIMIT_SLACK = 5
 
 LIMIT_HEARD = 0.5
-"""Seconds after a router passed on an answer with a limit from which its requests count."""
+"""Seconds after which a router that relayed a response with a limit has to respect the limit."""
 
-BACKOFF_HEARD = 0.5
-"""Seconds after a replica told a router to back off from which its requests count."""
+BACKOFF_GRACE = 0.5
+"""Seconds after which a router that was told to back off has to do so."""
 
 BACKOFF_ALLOWED = 2
-"""Requests that may reach it in that time all the same."""
+"""Requests of the router that may still reach the replica during the backoff."""
 
-LINK_SLACK = 0.7
-"""Seconds that an answer may take over links that are not disturbed, beside a busy event loop."""
+LINK_DELAY_MAX = 0.7
+"""Maximum seconds that a response takes over undisturbed links, with a busy event loop."""
 
-EVENTS = 5
-"""Events of the stand-ins' streams."""
+EVENT_COUNT = 5
+"""Number of events in a stream of the stand-in replicas."""
 
-WHOLE = b''.join(b'id: %d\ndata: piece %d\n\n' % (n, n) for n in range(EVENTS))
+WHOLE = b''.join(b'id: %d\ndata: piece %d\n\n' % (n, n) for n in range(EVENT_COUNT))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Asked:
-    """One request and what its client saw; status 0 is no whole answer."""
+    """A request and what its client received; status 0 means that the response is incomplete."""
 
     id: str
     kind: str
@@ -82,47 +82,47 @@
     status: int
     body: bytes
     seconds: float
-    echoed: str = ''
-    """The request id that the answer named."""
+    echoed_id: str = ''
+    """The request id in the response."""
 
     router: str = ''
-    """The router that was asked."""
+    """The router that received the request."""
 
     patience: float = math.inf
     """Seconds for which the client waits."""
 
     begun: bool = False
-    """Whether the head of an answer came."""
+    """Whether a response head arrived."""
 
     @property
     def ended_at(self) -> float:
-        """When the answer or the end of the connection came."""
+        """When the response or the end of the connection arrived."""
         return self.sent_at + self.seconds
 
 
 @dataclasses.dataclass(slots=True)
 class Stop:
-    """A router that was told at a time to stop as planned."""
+    """A planned stop of a router; `at` is the time of the SIGTERM."""
 
     router: str
     at: float
     still_since: float = 0.0
-    """Since when its process had stood still by then; the time of the signal if it had not."""
+    """Start of the pause (SIGSTOP) in which the SIGTERM was sent; equal to `at` without one."""
 
     ended: float = math.inf
-    """When its process was gone."""
+    """When the process exited."""
 
     def __post_init__(self) -> None:
         self.still_since = self.still_since or self.at
 
-    def may_miss(self, asked: Asked) -> bool:
-        """Return whether a request may have come too late for the process to read it."""
-        return self.ended - LAST_MOMENT <= asked.sent_at <= self.ended
+    def may_leave_unread(self, asked: Asked) -> bool:
+        """Return whether a request may have arrived too late for the process to read it."""
+        return self.ended - UNREAD_BEFORE_EXIT <= asked.sent_at <= self.ended
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Thaw:
-    """A router that went on at a time after it had stood still."""
+    """The end of a router's pause."""
 
     name: str
     at: float
@@ -130,7 +130,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unnamed:
-    """A time in which another writer's entry stood under a replica's id."""
+    """A period in which a replica's entry was overwritten by another writer."""
 
     id: str
     began: float
@@ -139,7 +139,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limited:
-    """A time in which a replica named a limit in its answers."""
+    """A period in which a replica sent a limit in its responses."""
 
     id: str
     limit: float
@@ -149,19 +149,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Disturbance:
-    """A time in which a router started or stood still, or a replica's link was disturbed."""
+    """A period in which a router started or was paused, or a replica's link was disturbed."""
 
     of: str
     began: float
     ended: float
 
     def excuses(self, at: float) -> bool:
-        """Return whether what happened at a time need not keep to bounds."""
-        return self.began <= at < self.ended + CONTACT
+        """Return whether time limits are not checked for an event at that time."""
+        return self.began <= at < self.ended + DISTURBANCE_GRACE
 
 
 def _is_excused(disturbances: Iterable[Disturbance], names: tuple[str, ...], at: float) -> bool:
-    """Return whether a disturbance of one of some routers or replicas excuses what happened."""
+    """Return whether a disturbance of one of the named routers or replicas excuses an event."""
     return any(d.of in names and d.excuses(at) for d in disturbances)
 
 
@@ -173,10 +173,10 @@
     order_gap: float,
     thaws: Sequence[Thaw] = (),
 ) -> list[str]:
-    """Return each broken promise in words.
+    """Return a description of each violation.
 
-    `revoked` has the times at which keys were taken away, `key_bound` the seconds after which they
-    may open nothing, `order_gap` the seconds between orders of two routers.
+    `revoked` has the times at which keys were revoked, `key_bound` the seconds after which they
+    must be rejected, `order_gap` the minimum seconds between orders of two routers.
     """
     known = list(replicas)
     runs = collections.Counter(run.id for r in known for run in r.runs)
@@ -201,10 +201,10 @@
     bound: float,
     disturbances: Sequence[Disturbance] = (),
 ) -> list[str]:
-    """Return each run that began on weights which had been outdated for longer than the bound.
+    """Return each run that started on weights which had been outdated for longer than the bound.
 
-    `named` has the times at which versions were named. Disturbances excuse the router that was
-    asked and whatever reaches a replica, as a cut link delivers late.
+    `named` has the times at which versions were released. A disturbance excuses requests through
+    its router, and requests to its replica, since an interrupted link delivers late.
     """
     routers = {one.id: one.router for one in asked}
     broken = []
@@ -229,28 +229,28 @@
     disturbances: Sequence[Disturbance] = (),
     unplanned: Sequence[tuple[float, float]] = (),
 ) -> list[str]:
-    """Return each run that began where no replica was named any more."""
+    """Return each run that started on a replica whose entry had been overwritten."""
     routers = {one.id: one.router for one in asked}
     broken = []
     for known in replicas:
         for run in known.runs:
             names = (routers.get(run.id, ''), known.id)
             excused = _is_excused(disturbances, names, run.at) or any(
-                began <= run.at < ended + CONTACT for began, ended in unplanned
+                began <= run.at < ended + DISTURBANCE_GRACE for began, ended in unplanned
             )
             broken += [
                 f'{run.id} began at {known.id} {run.at - one.began:.2f} s after another writer had '
                 f'overwritten its entry'
                 for one in unnamed
                 if one.id == known.id
-                and one.began + LEFT_WITHIN < run.at < one.ended
+                and one.began + REMOVAL_GRACE < run.at < one.ended
                 and not excused
             ]
     return broken
 
 
 def find_over_limit(arrived: Sequence[float], limit: float) -> list[str]:
-    """Return in words the first window in which more requests than tolerated reached a replica."""
+    """Return a description of the first window with more requests than tolerated."""
     allowed = limit * LIMIT_WINDOW * LIMIT_SHARE + LIMIT_SLACK
     times = sorted(arrived)
     for number, at in enumerate(times):
@@ -267,7 +267,7 @@
     limits: Sequence[Limited],
     disturbances: Sequence[Disturbance] = (),
 ) -> list[str]:
-    """Return all that replicas asked for in their answers and did not get."""
+    """Return each limit, backoff or leaving flag of a replica that routers did not respect."""
     asked, known = list(asked), list(replicas)
     routers = {one.id: one.router for one in asked}
     broken = find_limits_broken(asked, known, limits, disturbances)
@@ -283,17 +283,17 @@
     limits: Sequence[Limited],
     disturbances: Sequence[Disturbance] = (),
 ) -> list[str]:
-    """Return each limit that the routers which knew of it have broken together."""
+    """Return each limit that was exceeded by all routers together that knew it."""
     known = {r.id: r for r in replicas}
     by_id = {one.id: one for one in asked}
     broken = []
     for one in limits:
         limited = known.get(one.id)
         if limited is None:
-            # It has gone on under another id.
+            # The replica was replaced under another id.
             continue
         told = [said for said in limited.said if one.began <= said.at < one.ended]
-        heard = _find_heard([said for said in told if said.limit is not None], by_id)
+        heard = _find_signal_times([said for said in told if said.limit is not None], by_id)
         arrived = []
         for arrival in limited.arrivals:
             router = by_id[arrival.id].router if arrival.id in by_id else ''
@@ -310,9 +310,9 @@
     routers: Mapping[str, str],
     disturbances: Sequence[Disturbance] = (),
 ) -> list[str]:
-    """Return each time in which a router was to back off from a replica and did not.
+    """Return each backoff that a router did not respect.
 
-    `routers` has the router that each request was sent to.
+    `routers` has the router that each request was sent to, by request id.
     """
     broken = []
     for said in refusing.said:
@@ -324,7 +324,7 @@
             for a in refusing.arrivals
             if routers.get(a.id) == router
             and a.life == said.life
-            and said.at + BACKOFF_HEARD < a.at < said.at + said.backoff
+            and said.at + BACKOFF_GRACE < a.at < said.at + said.backoff
         ]
         names = (router, refusing.id)
         excused = any(_is_excused(disturbances, names, at) for at in came)
@@ -339,16 +339,16 @@
     replicas: Iterable[replica.Replica],
     disturbances: Sequence[Disturbance] = (),
 ) -> list[str]:
-    """Return each request that reached a replica from a router that knew that it leaves."""
+    """Return each request that a router sent to a replica known to be leaving."""
     by_id = {one.id: one for one in asked}
     broken = []
     for left in replicas:
         told = [said for said in left.said if said.leaving]
-        heard = _find_heard(told, by_id)
+        heard = _find_signal_times(told, by_id)
         for arrival in left.arrivals:
             one = by_id.get(arrival.id)
             since = heard.get((one.router if one else '', arrival.life), math.inf)
-            if one is None or one.sent_at <= since + LEFT_WITHIN:
+            if one is None or one.sent_at <= since + REMOVAL_GRACE:
                 continue
             if not _is_excused(disturbances, (one.router, left.id), arrival.at):
                 late = arrival.at - since
@@ -356,15 +356,15 @@
     return broken
 
 
-def _find_heard(
+def _find_signal_times(
     told: Iterable[replica.Said], asked: Mapping[str, Asked]
 ) -> dict[tuple[str, int], float]:
-    """Return when routers knew what a replica said, by router and life of the replica."""
+    """Return when routers knew of a replica's signal, by router and number of its process."""
     heard: dict[tuple[str, int], float] = {}
     for said in told:
         one = asked.get(said.id)
         if one is not None and one.status == 200:
-            heard.setdefault((one.router, said.life), said.at + LINK_SLACK)
+            heard.setdefault((one.router, said.life), said.at + LINK_DELAY_MAX)
     return heard
 
 
@@ -375,10 +375,10 @@
     grace: float,
     unplanned: Sequence[tuple[float, float]] = (),
 ) -> list[str]:
-    """Return each request that was taken and got no answer, where nothing but planned work was.
+    """Return each accepted request without a response where only planned work went on.
 
-    `grace` are the seconds from SIGTERM to the kill; `unplanned` has the begins and ends of other
-    trouble.
+    `grace` is the number of seconds from SIGTERM to the kill; `unplanned` has the starts and ends
+    of unplanned faults.
     """
     known = list(replicas)
     broken = []
@@ -393,7 +393,9 @@
             key=lambda s: s.at,
             default=None,
         )
-        if not runs and (one.seconds <= LOSS_SLACK or (stop and stop.may_miss(one))):
+        if not runs and (
+            one.seconds <= CLOSE_RACE_SECONDS or (stop and stop.may_leave_unread(one))
+        ):
             continue
         worked_until = max((r.worked_until.get(one.id, 0.0) for r in known), default=0.0)
         if stop is None or not _is_too_long(one, stop, grace, worked_until):
@@ -403,7 +405,7 @@
 
 def _is_disturbed(asked: Asked, unplanned: Sequence[tuple[float, float]]) -> bool:
     return any(
-        began <= asked.ended_at and asked.sent_at <= ended + DISTURBED_BEFORE
+        began <= asked.ended_at and asked.sent_at <= ended + UNPLANNED_FAULT_GRACE
         for began, ended in unplanned
     )
 
@@ -411,10 +413,11 @@
 def _is_too_long(asked: Asked, stop: Stop, grace: float, worked_until: float) -> bool:
     """Return whether a stop may cut a stream: it was sent in time and its replica still works.
 
-    A process that stood still cannot know when its signal came, and has to count from before.
+    A process that was paused cannot tell when its signal arrived, so that it counts the grace
+    period from the start of the pause.
     """
-    in_time = asked.sent_at <= stop.at + TAKEN_WITHIN
-    return asked.begun and in_time and worked_until >= stop.still_since + grace * LAST_PART
+    in_time = asked.sent_at <= stop.at + ACCEPTED_AFTER_STOP
+    return asked.begun and in_time and worked_until >= stop.still_since + grace * STREAM_GRACE_SHARE
 
 
 def _describe_lost(asked: Asked, stop: Stop | None, runs: int, worked_until: float) -> str:
@@ -431,15 +434,15 @@
 
 def _check_request(asked: Asked, runs: int) -> list[str]:
     broken = []
-    once = asked.kind in ONCE
+    once = asked.kind in RUN_ONCE_KINDS
     if once and runs > 1:
         broken.append(f'{asked.id} ({asked.kind}) ran {runs} times')
     if once and asked.status in NOT_RUN and runs:
         broken.append(f'{asked.id} was told {asked.status} and ran')
-    if asked.status == 200 and asked.kind in STREAMS and asked.body != WHOLE:
+    if asked.status == 200 and asked.kind in STREAM_KINDS and asked.body != WHOLE:
         broken.append(f'{asked.id} looks whole and is not')
-    if asked.echoed and asked.echoed != asked.id:
-        broken.append(f'{asked.id} got the answer of {asked.echoed}')
+    if asked.echoed_id and asked.echoed_id != asked.id:
+        broken.append(f'{asked.id} got the answer of {asked.echoed_id}')
     return broken
 
 
@@ -450,7 +453,9 @@
         (at, str(order['holder']), int(str(order['fencing_token'])))
         for known in replicas
         for at, order in known.taken
-        if not any(t.name == order['holder'] and 0 <= at - t.at < THAW_SECONDS for t in thaws)
+        if not any(
+            t.name == order['holder'] and 0 <= at - t.at < RESUMED_ORDER_GRACE for t in thaws
+        )
     )
     broken = []
     for (at, holder, token), (later, other, next_token) in zip(orders, orders[1:], strict=False):
--- a/passpier/standins/platform/proxy.py
+++ b/passpier/standins/platform/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that delays, holds up, silences and resets what passes through it."""
+"""A TCP proxy on loopback that can delay, block, silence and reset its connections."""
 
 from __future__ import annotations
 
@@ -9,29 +9,32 @@
 import socket
 import struct
 
-CHUNK = 65536
-LOOK = 0.02
-"""Seconds between looks at whether a cut has healed."""
+CHUNK_BYTES = 65536
+POLL_INTERVAL = 0.02
+"""Seconds between checks whether a blocked direction is open again."""
 
 
 SO_ATTACH_FILTER = 26
-"""Linux's socket option for a packet filter; the socket module does not name it."""
+"""Linux socket option that attaches a packet filter; the socket module does not define it."""
 
 DROP_ALL = struct.pack('HBBI', 0x06, 0, 0, 0)
-"""A packet filter of one instruction: return 0 bytes of each packet."""
+"""Packet filter with one instruction, which keeps 0 bytes of each packet."""
 
 
 class Way(enum.Enum):
     """A direction of bytes through the proxy."""
 
     OUT = 'out'
-    """From whoever connects to the target."""
+    """From the connecting side to the target."""
 
     BACK = 'back'
 
 
 class Proxy:
-    """Forwards connections to a target; bytes that a cut holds up arrive once it has healed."""
+    """Forwards connections to a target.
+
+    `cut` has the blocked directions; blocked bytes are delivered after `heal`.
+    """
 
     def __init__(self, target: str) -> None:
         self.target = target
@@ -48,7 +51,7 @@
         self.address = f'127.0.0.1:{self._server.sockets[0].getsockname()[1]}'
 
     def heal(self) -> None:
-        """Let everything through again."""
+        """Remove the delay and unblock both directions."""
         self.delay = 0.0
         self.cut.clear()
 
@@ -58,12 +61,12 @@
             _reset(writer)
 
     def silence(self) -> None:
-        """Let nothing more through on open connections, and tell neither side; new ones work."""
+        """Drop all further packets of open connections; new connections work."""
         for writer in list(self._writers):
             _silence(writer)
 
     async def stop(self) -> None:
-        """End the proxy and its connections."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -79,17 +82,17 @@
         try:
             await self._forward(reader, writer)
         except OSError:
-            # The target is gone, as its own port would tell: by a reset.
+            # The target is down; its own port would reset the connection as well.
             _reset(writer)
         except asyncio.CancelledError:
-            # Only `stop` cancels; asyncio's streams would report a task that ends so as failed.
+            # Only `stop` cancels; asyncio would log a cancelled connection task as failed.
             _reset(writer)
         finally:
             self._writers.discard(writer)
             self._tasks.discard(task)
 
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await self._pass(Way.OUT)
+        await self._hold(Way.OUT)
         host, _, port = self.target.rpartition(':')
         there, back = await asyncio.open_connection(host, int(port))
         self._writers.add(back)
@@ -98,7 +101,7 @@
                 group.create_task(self._pump(reader, back, Way.OUT))
                 group.create_task(self._pump(there, writer, Way.BACK))
         except* OSError:
-            # Either side was reset; the other one is told the same way.
+            # One side was reset, so the other one is reset, too.
             _reset(writer)
             _reset(back)
         finally:
@@ -107,35 +110,35 @@
     async def _pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Way
     ) -> None:
-        while data := await reader.read(CHUNK):
-            await self._pass(way)
+        while data := await reader.read(CHUNK_BYTES):
+            await self._hold(way)
             writer.write(data)
             await writer.drain()
-        await self._pass(way)
-        # Neither routers nor their clients go on after the other side has closed.
+        await self._hold(way)
+        # Neither routers nor their clients use half-closed connections.
         with contextlib.suppress(OSError):
             writer.close()
 
-    async def _pass(self, way: Way) -> None:
+    async def _hold(self, way: Way) -> None:
         if self.delay:
             await asyncio.sleep(self.delay)
         while way in self.cut:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
 
 
 def _silence(writer: asyncio.StreamWriter) -> None:
-    """Have the kernel drop whatever comes for a socket, acknowledgements included."""
+    """Let the kernel drop all packets for a socket, including acknowledgements."""
     code = ctypes.create_string_buffer(DROP_ALL)
     program = struct.pack('HL', 1, ctypes.addressof(code))
     with contextlib.suppress(OSError):
-        # The connection may have ended in this very moment.
+        # The connection may have been closed already.
         writer.get_extra_info('socket').setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset instead of an orderly close."""
+    """Close a connection with a TCP reset."""
     with contextlib.suppress(OSError):
-        # Without lingering, the kernel resets what is closed.
+        # With a linger time of 0, the kernel resets the connection on close.
         writer.get_extra_info('socket').setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
         )
--- a/passpier/standins/platform/replica.py
+++ b/passpier/standins/platform/replica.py
@@ -1,4 +1,4 @@
-"""Stand-in of a service's replica: runs requests, streams, takes orders; with fault switches."""
+"""Stand-in for a service replica: runs requests, streams, accepts orders; with fault injection."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 
 
 WORK_SECONDS = 'X-Standin-Seconds'
-"""Header with which a client says how many seconds a request takes."""
+"""Header in which a client sets how many seconds of work a request takes."""
 
 CRASH_AFTER = 0.02
-"""Seconds from the start of a run that ends its replica until it does."""
+"""Seconds between the start of a run that crashes its replica and the crash."""
 
 WORK_SLICE = 0.1
-"""Seconds of work between looks at how slow a replica is."""
+"""Seconds of work after which `Replica.slowdown` is read again."""
 
 
-def read_clock() -> int:
-    """Return the Unix time in milliseconds, as replicas tell when they started."""
+def read_unix_ms() -> int:
+    """Return the Unix time in milliseconds, the unit in which replicas report their start."""
     return time.time_ns() // 1_000_000
 
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What is wrong with a replica; counts are of requests yet to be hit."""
+    """Faults of a replica; a count is the number of coming requests that are affected."""
 
     refuse: int = 0
     """Refused as full, not run."""
@@ -50,47 +50,47 @@
     """Run, then answered with 500."""
 
     lose: int = 0
-    """Run, then the connection is reset without an answer."""
+    """Run, then the connection is reset without a response."""
 
     cut: int = 0
-    """Streams that are reset within their second event."""
+    """Streams that are reset in the middle of their second event."""
 
-    swap: int = 0
+    swap_id: int = 0
     """Answered with another request's id."""
 
     silent: bool = False
-    """Takes requests and never answers."""
+    """Accepts requests and never answers them."""
 
-    dark: bool = False
-    """Answers nothing at all, reports included."""
+    unreachable: bool = False
+    """Leaves every call unanswered, load reports included."""
 
-    lie: int = 0
-    """Run, then answered with 503 but without the word that it did not run."""
+    fail_503: int = 0
+    """Run, then answered with 503, without the header that marks a request as not run."""
 
-    stick: int = 0
-    """Orders that are taken and have no effect."""
+    ignore_order: int = 0
+    """Orders that are accepted and have no effect."""
 
     late_refusal: float = 0.0
-    """Seconds after which every request is refused as not run; 0: none is."""
+    """Seconds after which every request is refused as not run; 0 refuses none."""
 
     limit: float | None = None
-    """Requests a second that it takes from all routers together, named in each answer."""
+    """Requests a second that it accepts from all routers together, sent in each response."""
 
     backoff: float = 0.0
-    """Every request is refused as not run, with this as `Retry-After` in seconds; 0: none is."""
+    """Every request is refused as not run with this `Retry-After` in seconds; 0 refuses none."""
 
     leaves: bool = False
-    """Whether each answer says that the replica leaves; its entry is another matter."""
+    """Whether each response says that the replica is leaving; does not change its entry."""
 
     @property
-    def asks(self) -> bool:
-        """Whether answers ask for anything."""
+    def sends_signals(self) -> bool:
+        """Whether responses carry a limit, a backoff or the leaving flag."""
         return self.limit is not None or bool(self.backoff) or self.leaves
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """A request that a replica began to work on."""
+    """A request that a replica started to execute."""
 
     id: str
     account: str
@@ -103,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that reached a replica in one of its lives."""
+    """A request that reached a replica; `life` is the number of the replica's process."""
 
     id: str
     at: float
@@ -112,7 +112,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Said:
-    """What an answer to a request asked for."""
+    """A backpressure signal in a response: a limit, the leaving flag or a backoff."""
 
     id: str
     at: float
@@ -135,87 +135,87 @@
     work: float = 0.01
     events: int = 5
     event_bytes: int = 0
-    """Bytes that each event of a stream is padded to."""
+    """Spaces that are appended to each event of a stream."""
 
-    slowed: float = 1.0
-    """Factor by which work takes longer, also that under way."""
+    slowdown: float = 1.0
+    """Factor by which work takes longer, including work in progress."""
 
     load: float = 0.2
-    """Seconds that new weights take."""
+    """Seconds that loading new weights takes."""
 
     event_pause: float = EVENT_PAUSE
     """Seconds between two events of a stream."""
 
     address: str = ''
-    """Where others reach it."""
+    """Address under which it is recorded: its own or that of a proxy."""
 
     port: int = 0
-    """Where it listens; kept over its lives."""
+    """Port that it listens on; the same after a restart."""
 
     state: str = 'ready'
-    born: int = dataclasses.field(default_factory=read_clock)
-    """Unix milliseconds of the present life's start."""
+    born: int = dataclasses.field(default_factory=read_unix_ms)
+    """Start of the current process in Unix milliseconds."""
 
     life: int = 1
-    """Number of the present life."""
+    """Number of the current process, increased by each crash."""
 
     active: int = 0
     orders: int = 0
-    """Orders taken in the present life."""
+    """Orders that the current process has accepted."""
 
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
-    """Requests that came, run or not."""
+    """Requests that were received, run or not."""
 
     said: list[Said] = dataclasses.field(default_factory=list)
-    """What answers have asked for, of those that asked for something."""
+    """Backpressure signals that were sent."""
 
     misdirected: int = 0
-    """Requests that named another incarnation or other weights."""
+    """Requests that expected another instance or other weights."""
 
     loading: bool = False
     runs: list[Run] = dataclasses.field(default_factory=list)
     finished: list[str] = dataclasses.field(default_factory=list)
     dropped: list[str] = dataclasses.field(default_factory=list)
-    dropped_at: dict[str, float] = dataclasses.field(default_factory=dict)
-    """When the caller of each dropped request was found to have left."""
+    abandoned_at: dict[str, float] = dataclasses.field(default_factory=dict)
+    """When the disconnect of the caller was noticed, by the id of each abandoned request."""
 
     worked_until: dict[str, float] = dataclasses.field(default_factory=dict)
-    """When the work on each request ended, or its caller had left."""
+    """When the work on each request ended or its caller disconnected."""
 
     broken_off: set[str] = dataclasses.field(default_factory=set)
-    """Requests whose connections the replica itself ended."""
+    """Requests whose connections the replica itself closed."""
 
     taken: list[tuple[float, dict[str, object]]] = dataclasses.field(default_factory=list)
-    """Orders with the times at which they came."""
+    """Accepted orders with the times at which they arrived."""
 
     cache_events: list[list[object]] = dataclasses.field(default_factory=list)
-    """What the present life has cached: number, sign, salt, part, tokens and model of each part."""
+    """Prompt parts cached by the current process: number, sign, salt, part, tokens and model."""
 
     faults: Faults = dataclasses.field(default_factory=Faults)
-    deadly: bytes = b''
-    """The body of a request that ends each process which begins to run it; empty: there is none."""
+    crash_body: bytes = b''
+    """Body of requests that crash each process that runs them; no request does if it is empty."""
 
     on_crash: Callable[[], object] = lambda: None
-    """Called when such a request has ended the replica's process."""
+    """Called after such a request has crashed the replica."""
 
     ended_by: list[tuple[str, float]] = dataclasses.field(default_factory=list)
-    """Requests that have ended a process of the replica, with the times of its ends."""
+    """Requests that have crashed the replica, with the times of the crashes."""
 
     server: Server | None = dataclasses.field(default=None, repr=False)
 
     @property
     def asked(self) -> int:
-        """How many requests came, run or not."""
+        """Number of requests that were received, run or not."""
         return len(self.arrivals)
 
     def listen(self) -> None:
-        """Take connections, at the same port in each life."""
+        """Accept connections on the replica's port, which is the same after a restart."""
         sockets = tornado.netutil.bind_sockets(self.port, '127.0.0.1')
         self.server = Server(build_application(self))
         self.server.add_sockets(sockets)
 
     def crash(self) -> None:
-        """End the present life: connections are reset, and whatever it knew is gone."""
+        """End the current process: reset its connections and discard its state."""
         self.life += 1
         self.active = 0
         self.orders = 0
@@ -227,20 +227,21 @@
             self.server = None
 
     def restart(self, version: int | None = None, born: int | None = None) -> None:
-        """Begin a new life under the same id; a `born` below the last is that of a clock set back.
+        """Start a new process under the same id.
 
-        The new life has the weights `version`, else those that the last one had.
+        The new process has the weights `version`, by default those of the previous one. A `born`
+        before that of the previous process simulates a clock that was set back.
         """
         if self.server is not None:
             self.crash()
-        self.born = max(read_clock(), self.born + 1) if born is None else born
+        self.born = max(read_unix_ms(), self.born + 1) if born is None else born
         self.state = 'ready'
         if version is not None:
             self.version = version
         self.listen()
 
     def cache_prompt(self, salt: str, parts: str) -> None:
-        """Keep the parts of a prompt that are not kept yet."""
+        """Add to the cache the parts of a prompt that it does not hold yet."""
         kept = {(event[2], event[3]) for event in self.cache_events}
         for item in filter(None, parts.split(',')):
             part, _, tokens = item.partition(':')
@@ -249,7 +250,7 @@
                 self.cache_events.append([number, '+', salt, part, int(tokens), self.model])
 
     def render_entry(self) -> dict[str, object]:
-        """Return what the replica records of itself."""
+        """Return the entry with which the replica registers."""
         return {
             'service': self.service,
             'address': self.address,
@@ -265,10 +266,10 @@
 
 
 class Server(tornado.httpserver.HTTPServer):
-    """A server that can end all its connections at once, as the end of its process does."""
+    """An HTTP server that can reset all its connections at once, as a crash of its process does."""
 
     def initialize(self, *args: Any, **kwargs: Any) -> None:
-        """Set up; tornado calls this in place of a constructor."""
+        """Initialize the server; tornado calls this in place of a constructor."""
         super().initialize(*args, **kwargs)
         self._streams: weakref.WeakSet[tornado.iostream.IOStream] = weakref.WeakSet()
 
@@ -285,7 +286,7 @@
 
 
 def _reset(stream: tornado.iostream.IOStream) -> None:
-    """Close a connection so that the kernel resets it."""
+    """Close a connection with a TCP reset."""
     linger = struct.pack('ii', 1, 0)
     stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     stream.close()
@@ -297,16 +298,16 @@
         self._life = replica.life
 
     async def prepare(self) -> None:
-        while self.replica.faults.dark:
+        while self.replica.faults.unreachable:
             await self.pause(0.01)
 
     def flush(self, include_footers: bool = False) -> asyncio.Future[None]:
-        """Add to the head of an answer what the replica asks of its callers by now."""
+        """Add the current backpressure signals to the response head."""
         if not self._headers_written:
-            self._say()
+            self._add_signals()
         return super().flush(include_footers)
 
-    def _say(self) -> None:
+    def _add_signals(self) -> None:
         faults = self.replica.faults
         if faults.limit is not None:
             self.set_header(names.LIMIT, str(faults.limit))
@@ -319,32 +320,32 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether the life that took the request goes on."""
+        """Whether the process that received the request is still running."""
         return self._life == self.replica.life
 
     async def pause(self, seconds: float) -> None:
-        """Wait; what a life had begun ends with it."""
+        """Sleep; abort the request if its process has crashed meanwhile."""
         await asyncio.sleep(seconds)
         if not self.is_alive:
             self.replica.broken_off.add(self.id)
             raise tornado.web.Finish
 
-    async def work_for(self, seconds: float) -> None:
-        """Work for so long, longer while the replica is slowed."""
+    async def simulate_work(self, seconds: float) -> None:
+        """Spend `seconds` of work, which takes longer while the replica is slowed down."""
         while seconds > 0:
-            await self.pause(min(seconds, WORK_SLICE) * self.replica.slowed)
+            await self.pause(min(seconds, WORK_SLICE) * self.replica.slowdown)
             seconds -= WORK_SLICE
 
     @property
     def id(self) -> str:
-        """The id of the request; empty if it is none of a client."""
+        """The id of the request; empty if it does not come from a client."""
         return self.request.headers.get(names.REQUEST_ID, '')
 
-    def is_foreign(self) -> bool:
+    def is_misdirected(self) -> bool:
         expected = self.request.headers.get(names.EXPECT_INCARNATION, self.replica.id)
         return expected != self.replica.id
 
-    def hits(self, fault: str) -> bool:
+    def take_fault(self, fault: str) -> bool:
         left = getattr(self.replica.faults, fault)
         if left:
             setattr(self.replica.faults, fault, left - 1)
@@ -392,7 +393,7 @@
     def post(self) -> None:
         replica = self.replica
         body = json.loads(self.request.body)
-        if self.is_foreign():
+        if self.is_misdirected():
             self.set_status(421)
         elif replica.loading or body.get('expected_revision', replica.orders) != replica.orders:
             self.set_status(409)
@@ -402,7 +403,7 @@
             replica.taken.append((clocks.now(), body))
             replica.orders += 1
             self.set_status(202)
-            if not self.hits('stick'):
+            if not self.take_fault('ignore_order'):
                 replica.loading = True
                 loop = asyncio.get_running_loop()
                 loop.call_later(replica.load, self._finish_load, body['version'])
@@ -414,16 +415,16 @@
         self.replica.loading = False
 
 
-class _Work(_Handler):
-    """Any other path: a request."""
+class _Request(_Handler):
+    """Handles client requests, on every other path."""
 
     async def get(self) -> None:
-        """Run a request."""
+        """Run the request or refuse it."""
         self.set_header(names.REQUEST_ID, self.request.headers.get(names.REQUEST_ID, ''))
         replica = self.replica
         replica.arrivals.append(Arrival(self.id, clocks.now(), self._life))
         wanted = self.request.headers.get(names.EXPECT_VERSION, str(replica.version))
-        if self.is_foreign() or (replica.model and wanted != str(replica.version)):
+        if self.is_misdirected() or (replica.model and wanted != str(replica.version)):
             replica.misdirected += 1
             self.set_header(names.INCARNATION, replica.id)
             self.set_status(421)
@@ -439,7 +440,7 @@
             self.set_status(503)
             return
         full = replica.active >= replica.slots or replica.loading
-        if full or self.hits('refuse'):
+        if full or self.take_fault('refuse'):
             self.set_header(names.NOT_RUN, '1')
             self.set_status(503)
             return
@@ -462,21 +463,21 @@
                 clocks.now(),
             )
         )
-        if replica.deadly and self.request.body == replica.deadly:
-            await self._end_replica(id)
+        if replica.crash_body and self.request.body == replica.crash_body:
+            await self._crash_replica(id)
         replica.active += 1
-        self._wanted = float(headers.get(WORK_SECONDS, '0'))
+        self._extra_seconds = float(headers.get(WORK_SECONDS, '0'))
         try:
             while replica.faults.silent:
                 await self.pause(0.01)
-            await self.work_for(replica.work + (0.0 if replica.model else self._wanted))
+            await self.simulate_work(replica.work + (0.0 if replica.model else self._extra_seconds))
             await self._answer(id)
         finally:
             replica.worked_until.setdefault(id, clocks.now())
             if self.is_alive:
                 replica.active -= 1
 
-    async def _end_replica(self, id: str) -> None:
+    async def _crash_replica(self, id: str) -> None:
         await self.pause(CRASH_AFTER)
         self.replica.ended_by.append((id, clocks.now()))
         self.replica.crash()
@@ -484,25 +485,25 @@
         raise tornado.web.Finish
 
     def on_connection_close(self) -> None:
-        """Note a request whose caller has left."""
+        """Record the request as abandoned by its caller."""
         if not self.is_alive:
             return
         id = self.id
         now = clocks.now()
         self.replica.dropped.append(id)
-        self.replica.dropped_at.setdefault(id, now)
+        self.replica.abandoned_at.setdefault(id, now)
         self.replica.worked_until.setdefault(id, now)
 
     async def _answer(self, id: str) -> None:
-        if self.hits('lose'):
+        if self.take_fault('lose'):
             self.reset()
-        if self.hits('lie'):
+        if self.take_fault('fail_503'):
             self.set_status(503)
             return
         self.set_header(names.STAMP, f'{self.replica.id}.{id}')
-        if self.hits('swap'):
+        if self.take_fault('swap_id'):
             self.set_header(names.REQUEST_ID, 'of-somebody-else')
-        if self.hits('fail'):
+        if self.take_fault('fail'):
             self.set_status(500)
             self.write('failed')
             return
@@ -518,8 +519,8 @@
         salt = self.request.headers.get(names.SALT, '')
         self.replica.cache_prompt(salt, self.request.headers.get(names.PARTS, ''))
         first = int(self.request.headers.get(names.LAST_EVENT) or -1) + 1
-        cut = self.hits('cut')
-        pause = self.replica.event_pause + self._wanted / self.replica.events
+        cut = self.take_fault('cut')
+        pause = self.replica.event_pause + self._extra_seconds / self.replica.events
         for number in range(first, self.replica.events):
             if cut and number == first + 1:
                 self.write(f'id: {number}\nda')
@@ -529,18 +530,18 @@
             padding = ' ' * self.replica.event_bytes
             self.write(f'id: {number}\ndata: piece {number}{padding}\n\n')
             await self.flush()
-            await self.work_for(pause)
+            await self.simulate_work(pause)
         self.replica.finished.append(id)
 
 
 def build_application(replica: Replica) -> tornado.web.Application:
-    """Return a replica's HTTP interface."""
+    """Return the replica's HTTP application."""
     state = {'replica': replica}
     return tornado.web.Application(
         [
             (names.REPORT_PATH, _Report, state),
             (names.ORDER_PATH, _Order, state),
             (names.CACHE_EVENTS_PATH, _CacheEvents, state),
-            ('/.*', _Work, state),
+            ('/.*', _Request, state),
         ]
     )
--- a/passpier/standins/platform/routers.py
+++ b/passpier/standins/platform/routers.py
@@ -1,4 +1,4 @@
-"""A router as the platform runs it: a process, its settings file, and proxies around it."""
+"""A router process as the platform runs it, with its settings file and proxies around it."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from passpier.standins.platform import proxy
 
 KEY_BOUND = 3.0
-"""Seconds after which a key that was taken away opens nothing, as the settings say."""
+"""Seconds after which a revoked key is rejected, as in the settings."""
 
 ORDER_GAP = 1.5
-"""Seconds between orders of two routers, as the settings say."""
+"""Minimum seconds between orders of two routers, as in the settings."""
 
 VERSION_BOUND = 8.0
-"""Seconds after which nothing may begin on outdated weights, as the settings say."""
+"""Seconds after which no request may start on outdated weights, as in the settings."""
 
 STOP_BOUND = 6.0
-"""Seconds after SIGTERM at which the platform kills."""
+"""Seconds after SIGTERM at which the platform kills a process."""
 
 SIGNAL_MASKS = ('SigIgn:', 'SigCgt:')
-"""Lines of a process's status that show which signals it ignores and which it handles."""
+"""Lines of a process's status file with the masks of ignored and of handled signals."""
 
 SETTINGS = """
 node_name = "{name}"
@@ -48,7 +48,7 @@
 
 
 class RouterProcess(processes.Process):
-    """A router as the platform runs it, with the proxies before and behind it."""
+    """A router process, with a proxy for its clients and one in front of the store."""
 
     def __init__(self, number: int, folder: pathlib.Path, store: str) -> None:
         name = f'vm-{number}'
@@ -59,9 +59,9 @@
         self.store_link = proxy.Proxy(store)
         self.client_link = proxy.Proxy(self.caller)
         self.busy = False
-        """Whether a signal's work is under way, so that no other one comes between."""
+        """Whether a fault is being injected into the process, which excludes further ones."""
 
-        self.slack = 40
+        self.retry_slack = 40
         self._peer = processes.pick_port()
         self._metrics = processes.pick_port()
         self._zone = f'zone-{number % 2}'
@@ -75,13 +75,13 @@
         self.start()
 
     def start(self) -> None:
-        """Start the process, without the variables of a test run that would reach it."""
+        """Start the process, with its own settings in place of those of a test run."""
         os.environ[names.SETTINGS_VARIABLE] = str(self._settings)
         os.environ['PASSPIER_METRICS_PORT'] = str(self._metrics)
         super().start()
 
     async def is_ready(self, pool: connections.Pool) -> bool:
-        """Return whether the router says that clients should be sent to it."""
+        """Return whether the router reports that it is ready for clients."""
         request = exchanges.Request('GET', names.READY_PATH, [('Host', self.ready)])
         try:
             answer = await pool.fetch(self.ready, request, 1.0)
@@ -90,7 +90,7 @@
         return answer.head.status == 200
 
     def write_settings(self) -> None:
-        """Write the settings file; a process that starts just then reads the old or the new one."""
+        """Replace the settings file atomically, as a process may be reading it."""
         text = SETTINGS.format(
             name=self.name,
             zone=self._zone,
@@ -102,7 +102,7 @@
             key_ms=int(KEY_BOUND * 1000),
             lease_ms=int(ORDER_GAP * 1000),
             version_ms=int(VERSION_BOUND * 1000),
-            slack=self.slack,
+            slack=self.retry_slack,
             store=self.store_link.address,
         )
         draft = self._settings.with_suffix('.new')
@@ -115,10 +115,10 @@
         return self.popen.poll() is None
 
     def hears(self, number: signal.Signals) -> bool:
-        """Return whether the process ignores or handles a signal: its own code has begun.
+        """Return whether the process ignores or handles a signal.
 
-        Before that, for some tens of milliseconds, the interpreter itself starts, and no program
-        can keep a signal from ending it.
+        It does so as soon as its own code runs. Before that, while the interpreter starts for some
+        tens of milliseconds, the signal terminates the process, and no program can prevent it.
         """
         if not self.runs:
             return False
@@ -127,7 +127,7 @@
         return any(int(mask, 16) >> (number - 1) & 1 for mask in masks)
 
     async def close(self) -> None:
-        """End everything."""
+        """Kill the process and stop the proxies."""
         if self.runs:
             self.send(signal.SIGCONT)
             self.kill()
--- a/passpier/standins/platform/soak.py
+++ b/passpier/standins/platform/soak.py
@@ -1,10 +1,10 @@
-"""Plays seeded faults, from outside, against routers that run as processes of their own.
+"""Injects seeded faults, from outside, into routers that run as separate processes.
 
-The store and the replicas are stand-ins in this process. Between them and each router, and
-between clients and each router, stands a proxy that delays, holds up, silences and resets. Routers
-are paused, killed, stopped, reloaded and started again by signals, in series that overlap; in some
-plays there is planned work only, so that each request that is cut counts. What clients and replicas
-saw is checked against the promises (`promises`), and that all is well in the end.
+The store and the replicas are stand-ins in this process. Proxies in front of the store, of each
+replica and of each router can delay, block, silence and reset connections. Routers are paused,
+killed, stopped, reloaded and restarted by signals, in series that overlap. With planned work only,
+every request that is cut counts as a violation. What clients and replicas observed is checked
+against the invariants (`promises`), and everything has to recover in the end.
 """
 
 from __future__ import annotations
@@ -24,33 +24,33 @@
 from passpier import clocks
 from passpier.clients import connections, exchanges
 from passpier.standins.platform import (
-    asking,
+    backpressure,
+    clients,
     deployment,
-    lives,
+    fault_injection,
     promises,
     replica,
+    restarts,
     routers,
-    signals,
     stops,
-    troubles,
 )
 
 START_SECONDS = 20.0
-"""Seconds in which all routers have to be ready at first; starting many loads the machine."""
+"""Seconds within which all routers have to be ready; starting many of them loads the machine."""
 
-STALL_LOOK = 0.05
-"""Seconds between looks at whether the soak's own event loop turns."""
+STALL_CHECK_INTERVAL = 0.05
+"""Seconds between checks for stalls of the soak's own event loop."""
 
-STALL_NOTED = 0.5
-"""Seconds without a turn that count as trouble: clients, replicas and links stand still with it."""
+STALL_THRESHOLD = 0.5
+"""Seconds of a stall that count as a fault: clients, replicas and proxies stall with the loop."""
 
-RECOVERY = 12.0
-"""Seconds after the last trouble in which all has to be well again."""
+RECOVERY_SECONDS = 12.0
+"""Seconds after the last fault within which everything has to recover."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What is played."""
+    """The parameters of a run."""
 
     seed: int
     seconds: float = 8.0
@@ -59,39 +59,39 @@
     """Short requests a second."""
 
     planned: bool = False
-    """Whether there is no trouble of routers but planned work, so that each cut request counts."""
+    """Whether routers see planned work only, so that each cut request counts."""
 
     lives: bool = False
-    """Whether replicas start again under their ids and other writers leave entries."""
+    """Whether replicas restart under their ids and other writers leave malformed entries."""
 
     asks: bool = False
-    """Whether replicas ask for less in their answers."""
+    """Whether replicas send backpressure signals in their responses."""
 
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """What a play showed."""
+    """The result of a run."""
 
     seed: int
     asked: list[promises.Asked] = dataclasses.field(default_factory=list)
-    troubles: list[tuple[float, str]] = dataclasses.field(default_factory=list)
+    faults: list[tuple[float, str]] = dataclasses.field(default_factory=list)
     broken: list[str] = dataclasses.field(default_factory=list)
     broken_signals: list[str] = dataclasses.field(default_factory=list)
-    """Those of them that replicas had asked for in their answers."""
+    """The violations of backpressure signals, which `broken` contains as well."""
 
     def render(self) -> str:
         """Return the report as text."""
         counts = collections.Counter(a.status for a in self.asked)
         told = ', '.join(f'{status}: {count}' for status, count in sorted(counts.items()))
-        lines = [f'seed {self.seed}: {len(self.troubles)} troubles; answers {told}']
+        lines = [f'seed {self.seed}: {len(self.faults)} troubles; answers {told}']
         lines += [f'  broken: {text}' for text in self.broken]
         if self.broken:
-            lines += [f'  {at:6.2f} s {what}' for at, what in self.troubles]
+            lines += [f'  {at:6.2f} s {what}' for at, what in self.faults]
         return '\n'.join(lines)
 
 
 class Soak:
-    """One play."""
+    """One run with a seed."""
 
     def __init__(self, plan: Plan, folder: pathlib.Path) -> None:
         seed = plan.seed
@@ -101,89 +101,91 @@
         self._deployment = deployment.Deployment()
         self._pool = connections.Pool()
         self._routers: list[routers.RouterProcess] = []
-        self._stage = troubles.Stage(self._deployment, self._routers, {})
-        self._clients = asking.Clients(self._deployment, self._routers, seed, rng)
-        self._troubles = troubles.Troubles(self._stage, rng)
-        self._weights = troubles.WeightTroubles(self._stage, random.Random(seed))
-        self._silences = troubles.SilenceTroubles(
-            self._stage, self._troubles, random.Random(f'silence {seed}')
+        self._targets = fault_injection.FaultTargets(self._deployment, self._routers, {})
+        self._clients = clients.Clients(self._deployment, self._routers, seed, rng)
+        self._faults = fault_injection.FaultInjector(self._targets, rng)
+        self._rollouts = fault_injection.RolloutInjector(self._targets, random.Random(seed))
+        self._silences = fault_injection.SilenceInjector(
+            self._targets, self._faults, random.Random(f'silence {seed}')
         )
-        self._stops = stops.StopTroubles(self._stage, self._troubles, random.Random(f'stop {seed}'))
-        self._lives = lives.LifeTroubles(self._stage, self._troubles, random.Random(f'life {seed}'))
-        self._foreign = lives.ForeignTroubles(
-            self._stage, self._troubles, random.Random(f'foreign {seed}')
+        self._stops = stops.StopInjector(self._targets, self._faults, random.Random(f'stop {seed}'))
+        self._restarts = restarts.RestartInjector(
+            self._targets, self._faults, random.Random(f'life {seed}')
         )
-        self._signals = signals.SignalTroubles(
-            self._deployment, self._troubles, random.Random(f'signal {seed}')
+        self._foreign_entries = restarts.ForeignEntryInjector(
+            self._targets, self._faults, random.Random(f'foreign {seed}')
+        )
+        self._backpressure = backpressure.BackpressureInjector(
+            self._deployment, self._faults, random.Random(f'signal {seed}')
         )
         self.report = Report(seed)
 
     async def run(self) -> Report:
-        """Start all, play, and check."""
+        """Start everything, inject faults under load, and check."""
         try:
             await self._start()
-            await self._play(self._plan.seconds)
+            await self._run_scenario(self._plan.seconds)
             await self._check_recovery()
         finally:
             for router in self._routers:
                 await router.close()
-            for link in self._stage.links.values():
+            for link in self._targets.links.values():
                 await link.stop()
             await self._deployment.stop()
             self._pool.close()
-        self._judge()
+        self._check_invariants()
         return self.report
 
-    def _judge(self) -> None:
-        """Note each promise that was broken."""
+    def _check_invariants(self) -> None:
+        """Add every violation of an invariant to the report."""
         self.report.asked = self._clients.asked
-        self.report.troubles = self._troubles.done
-        self.report.broken += self._troubles.broken
+        self.report.faults = self._faults.applied
+        self.report.broken += self._faults.violations
         self.report.broken += promises.find_broken(
             self.report.asked,
             self._deployment.replicas.values(),
-            self._troubles.revoked,
+            self._faults.revoked,
             routers.KEY_BOUND,
             routers.ORDER_GAP,
-            self._troubles.thaws,
+            self._faults.resumptions,
         )
         self.report.broken += promises.find_outdated(
             self.report.asked,
             self._deployment.replicas.values(),
-            self._stage.named,
+            self._targets.released,
             routers.VERSION_BOUND,
-            self._troubles.disturbances,
+            self._faults.disturbances,
         )
         self.report.broken += promises.find_lost(
             self.report.asked,
             self._deployment.replicas.values(),
-            self._troubles.stops,
+            self._faults.stops,
             routers.STOP_BOUND,
-            self._troubles.unplanned,
+            self._faults.unplanned,
         )
         self.report.broken += promises.find_unnamed(
             self.report.asked,
             self._deployment.replicas.values(),
-            self._foreign.unnamed,
-            self._troubles.disturbances,
-            self._troubles.unplanned,
+            self._foreign_entries.overwritten,
+            self._faults.disturbances,
+            self._faults.unplanned,
         )
         self.report.broken_signals = promises.find_broken_signals(
             self.report.asked,
             self._deployment.replicas.values(),
-            self._signals.limits,
-            self._troubles.disturbances,
+            self._backpressure.limits,
+            self._faults.disturbances,
         )
         self.report.broken += self.report.broken_signals
-        if self._deployment.trap.asked:
+        if self._deployment.decoy.asked:
             self.report.broken.append(
-                f'{self._deployment.trap.asked} requests were sent to entries of other writers'
+                f'{self._deployment.decoy.asked} requests were sent to entries of other writers'
             )
 
     async def _start(self) -> None:
         await self._deployment.start(routers=0)
         for known in list(self._deployment.replicas.values()):
-            await self._stage.put_behind_proxy(known)
+            await self._targets.put_behind_proxy(known)
         for number in range(self._plan.routers):
             router = routers.RouterProcess(number, self._folder, self._deployment.store_address)
             self._routers.append(router)
@@ -200,44 +202,46 @@
             await asyncio.sleep(0.1)
         return False
 
-    async def _play(self, seconds: float) -> None:
+    async def _run_scenario(self, seconds: float) -> None:
         ends_at = clocks.now() + seconds
         if self._plan.planned:
-            series = [self._troubles.run_planned(ends_at), self._stops.run(ends_at)]
+            series = [self._faults.run_planned(ends_at), self._stops.run(ends_at)]
         else:
-            series = [self._troubles.run(ends_at), self._silences.run(ends_at)]
+            series = [self._faults.run(ends_at), self._silences.run(ends_at)]
         if self._plan.lives:
-            series += [self._lives.run(ends_at), self._foreign.run(ends_at)]
+            series += [self._restarts.run(ends_at), self._foreign_entries.run(ends_at)]
         if self._plan.asks:
-            series.append(self._signals.run(ends_at))
-        stalls = asyncio.ensure_future(self._note_stalls())
-        trouble = asyncio.gather(self._weights.run(ends_at), *series)
+            series.append(self._backpressure.run(ends_at))
+        stalls = asyncio.ensure_future(self._log_stalls())
+        faults = asyncio.gather(self._rollouts.run(ends_at), *series)
         await self._clients.run(ends_at, self._plan.rate)
-        await trouble
+        await faults
         stalls.cancel()
 
-    async def _note_stalls(self) -> None:
-        """Write down when the soak got no time itself: its replicas were silent meanwhile."""
+    async def _log_stalls(self) -> None:
+        """Record stalls of the soak's own event loop, in which its replicas do not answer."""
         turned_at = clocks.now()
         while True:
-            await asyncio.sleep(STALL_LOOK)
+            await asyncio.sleep(STALL_CHECK_INTERVAL)
             now = clocks.now()
-            if now - turned_at > STALL_NOTED:
-                self._troubles.note_past(
-                    f'the soak itself stood for {now - turned_at:.2f} s', turned_at
+            if now - turned_at > STALL_THRESHOLD:
+                self._faults.log_past_fault(
+                    f'the soak itself stalled for {now - turned_at:.2f} s', turned_at
                 )
             turned_at = now
 
     async def _check_recovery(self) -> None:
-        """Note what is not well again some time after the last trouble."""
+        """Report what has not recovered some time after the last fault."""
         for known in self._deployment.replicas.values():
             known.faults = replica.Faults()
         for router in self._routers:
             if not router.runs:
-                self.report.broken.append(f'{router.name} ended by itself')
-        if not await self._wait_ready(RECOVERY):
-            self.report.broken.append(f'not all routers are ready {RECOVERY} s after all trouble')
-        ends_at = clocks.now() + RECOVERY
+                self.report.broken.append(f'{router.name} exited by itself')
+        if not await self._wait_ready(RECOVERY_SECONDS):
+            self.report.broken.append(
+                f'not all routers are ready {RECOVERY_SECONDS} s after the last fault'
+            )
+        ends_at = clocks.now() + RECOVERY_SECONDS
         while clocks.now() < ends_at and self._list_outdated():
             await asyncio.sleep(0.1)
         self.report.broken += [f'{id} has old weights' for id in self._list_outdated()]
@@ -256,13 +260,13 @@
             for r in self._deployment.replicas.values()
             if r.model
             and r.state == 'ready'
-            and self._deployment.is_recorded(r.id)
-            and r.version < self._stage.version
+            and self._deployment.has_entry(r.id)
+            and r.version < self._targets.version
         ]
 
 
 async def soak(plan: Plan, logs: str = '') -> Report:
-    """Play one seed; the routers' logs go to `logs` if a promise is broken or it fails."""
+    """Run one seed; keep the routers' logs under `logs` after a violation or an exception."""
     with tempfile.TemporaryDirectory(prefix='passpier-soak-') as name:
         folder = pathlib.Path(name)
         broken = True
@@ -287,8 +291,8 @@
     lives: bool = False,
     asks: bool = False,
 ) -> None:
-    """Play `count` seeds from `seed` on; exit with 1 if a promise was broken."""
-    # The stand-ins are meant to fail; each connection that breaks under them would be logged.
+    """Run `count` seeds from `seed` on; exit with 1 after a violation."""
+    # The injected faults break connections, and tornado would log each of them.
     logging.disable(logging.CRITICAL)
     broken = 0
     for number in range(seed, seed + count):
