--- a/passpier/core/choice.py
+++ b/passpier/core/choice.py
@@ -47,9 +47,8 @@
 many; charging for them would move prompts away from their homes without any benefit."""
 
 CROWDING_MAX_REQUESTS = 20
-"""Running requests above which the crowding cost stops rising. When all replicas are crowded, this
-cost sends prompts to the replica with the fewest tokens to compute, and waiting times must still
-have an influence."""
+"""Running requests above which the crowding cost stops rising. When all replicas are crowded, it
+favors the replica with the fewest tokens to compute, and waiting times must still count."""
 
 
 class Job(msgspec.Struct, frozen=True):
--- a/passpier/core/claims.py
+++ b/passpier/core/claims.py
@@ -15,8 +15,8 @@
 MAX_ENTRIES = 100_000
 """Maximum number of keys in a table; further keys are refused."""
 
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
-"""Maximum bytes of answers in a table; the oldest are dropped first."""
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+"""Maximum bytes of responses in a table; the oldest are dropped first."""
 
 T = TypeVar('T')
 
@@ -59,13 +59,13 @@
 
     RUN = 'run'
     JOIN = 'join'
-    """The key is running; the request waits for the same answer."""
+    """The key is running; the request waits for the same response."""
 
     ANSWER = 'answer'
-    """The key has run and its answer is stored."""
+    """The key has run and its response is stored."""
 
     RAN = 'ran'
-    """The key has run, but its answer is no longer stored."""
+    """The key has run, but its response is no longer stored."""
 
     UNKNOWN = 'unknown'
     """The key may have run."""
@@ -80,7 +80,7 @@
 class _Entry(msgspec.Struct, Generic[T]):
     state: State
     made_at: float
-    answer: T | None = None
+    response: T | None = None
     size: int = 0
 
 
@@ -96,7 +96,7 @@
         self._max_entries = max_entries
         self._entries: dict[str, _Entry[T]] = {}
         self._horizon = float('-inf')
-        self._answer_bytes = 0
+        self._response_bytes = 0
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -118,14 +118,14 @@
         """Return whether a key of that time would still be in the table if it had run."""
         return made_at > self._horizon
 
-    def finish(self, key: str, answer: T, size: int) -> None:
-        """Record that a key has run, and store its answer."""
+    def finish(self, key: str, response: T, size: int) -> None:
+        """Record that a key has run, and store its response."""
         entry = self._entries[key]
         entry.state = State.RAN
-        entry.answer = answer
+        entry.response = response
         entry.size = size
-        self._answer_bytes += size
-        self._drop_answers()
+        self._response_bytes += size
+        self._drop_responses()
 
     def fail(self, key: str, may_have_run: bool) -> None:
         """Record a failure; a key that has certainly not run is removed and may be used again."""
@@ -135,16 +135,16 @@
             del self._entries[key]
 
     def get_answer(self, key: str) -> T | None:
-        """Return a stored answer, if any."""
+        """Return a stored response, if any."""
         entry = self._entries.get(key)
-        return entry.answer if entry else None
+        return entry.response if entry else None
 
     def _check_entry(self, entry: _Entry[T]) -> Verdict:
         if entry.state is State.RUNNING:
             return Verdict.JOIN
         if entry.state is State.UNKNOWN:
             return Verdict.UNKNOWN
-        return Verdict.RAN if entry.answer is None else Verdict.ANSWER
+        return Verdict.RAN if entry.response is None else Verdict.ANSWER
 
     def _expire(self, now: float) -> None:
         horizon = now - self._retention
@@ -155,16 +155,16 @@
             key, entry = next(iter(self._entries.items()))
             if entry.made_at > horizon or entry.state is State.RUNNING:
                 return
-            self._answer_bytes -= entry.size
+            self._response_bytes -= entry.size
             del self._entries[key]
 
-    def _drop_answers(self) -> None:
-        if self._answer_bytes <= MAX_ANSWER_BYTES:
+    def _drop_responses(self) -> None:
+        if self._response_bytes <= MAX_RESPONSE_BYTES:
             return
         for entry in self._entries.values():
-            if entry.answer is not None:
-                self._answer_bytes -= entry.size
-                entry.answer = None
+            if entry.response is not None:
+                self._response_bytes -= entry.size
+                entry.response = None
                 entry.size = 0
-            if self._answer_bytes <= MAX_ANSWER_BYTES:
+            if self._response_bytes <= MAX_RESPONSE_BYTES:
                 return
--- a/passpier/core/entries.py
+++ b/passpier/core/entries.py
@@ -20,7 +20,7 @@
 (docs/CAPACITY.md), which leaves room for bursts of three times as many."""
 
 MAX_LISTED = 64
-"""Maximum number of entries in one answer."""
+"""Maximum number of entries in one response."""
 
 
 class Entry(msgspec.Struct, frozen=True):
@@ -72,8 +72,8 @@
 def choose_near(active: Sequence[members.Member], failure_domain: str) -> list[str]:
     """Return the entries in a client's own failure domain, if there are at least two.
 
-    With fewer, entries in other domains are listed, too: a client caches the answer for a while and
-    needs an alternative if the only near daemon fails.
+    With fewer, entries in other domains are listed, too: a client caches the response for a while
+    and needs an alternative if the only near daemon fails.
     """
     near = [m.entry for m in active if m.failure_domain == failure_domain]
     if len(near) >= MIN_NEAR:
--- a/passpier/core/pace.py
+++ b/passpier/core/pace.py
@@ -1,4 +1,4 @@
-"""Average time between tokens of an answer, by pool."""
+"""Average time between tokens of a response, by pool."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 """Weight of a new sample in the moving average, which follows a change within about 20 tokens."""
 
 SAFETY_FACTOR = 2.0
-"""Factor on the average in estimates, as answers slow down when more of them run in parallel."""
+"""Factor on the average in estimates, as responses slow down when more of them run in parallel."""
 
 
 class Pace:
@@ -19,7 +19,7 @@
         self._means: dict[str, float] = {}
 
     def note(self, pool: str, gap: float) -> None:
-        """Add a gap between two tokens of an answer, in seconds."""
+        """Add a gap between two tokens of a response, in seconds."""
         mean = self._means.get(pool, gap)
         self._means[pool] = mean + SAMPLE_WEIGHT * (gap - mean)
 
--- a/passpier/core/replicas.py
+++ b/passpier/core/replicas.py
@@ -260,7 +260,7 @@
 
     A replica processes all requests from one queue, so the tokens it has computed since the load
     messages came are subtracted once from the total and not from each daemon's load in full. A
-    minimum share stays counted, because other daemons' first tokens are not reported here.
+    minimum share stays counted, as the first tokens of other daemons' requests are unknown.
     """
     total = 0.0
     weighted_age = 0.0
--- a/passpier/core/rollout.py
+++ b/passpier/core/rollout.py
@@ -16,7 +16,7 @@
 
 ORDER_TIMEOUT = 6.0
 """Seconds after which an order without a recorded end is given again: the longest one takes 5.1 s,
-with three attempts without an answer and the timeout of its load."""
+with three attempts without a response and the timeout of its load."""
 
 FAILURE_BACKOFF = 1.0
 """Seconds for which a replica that didn't accept an order is skipped."""
--- a/passpier/core/shares.py
+++ b/passpier/core/shares.py
@@ -57,7 +57,7 @@
 
     @property
     def tokens_per_second(self) -> int:
-        """Maximum prompt and answer tokens per second."""
+        """Maximum prompt and completion tokens per second."""
 
 
 class Limit(msgspec.Struct, frozen=True):
--- a/passpier/core/turns.py
+++ b/passpier/core/turns.py
@@ -9,8 +9,8 @@
 from __future__ import annotations
 
 MAX_WAIT_SHARE = 0.75
-"""Maximum scheduled wait as a share of the client's remaining timeout. A later retry could not be
-answered in time, and an earlier one may find units that are available."""
+"""Maximum scheduled wait as a share of the client's remaining timeout. A later retry could not
+complete in time, and an earlier one may find units that are available."""
 
 
 class Turns:
--- a/passpier/tests/core/claims_tests.py
+++ b/passpier/tests/core/claims_tests.py
@@ -23,7 +23,7 @@
 
 
 class KeyMachine(stateful.RuleBasedStateMachine):
-    """Keys, answers, failures, and a wall clock that jumps in both directions."""
+    """Keys, responses, failures, and a wall clock that jumps in both directions."""
 
     keys: stateful.Bundle = stateful.Bundle('keys')
 
@@ -88,7 +88,7 @@
     broken.check_caught(BrokenMachine)
 
 
-def test_running_keys_are_joined_and_answers_repeated() -> None:
+def test_running_keys_are_joined_and_responses_repeated() -> None:
     table: claims.KeyTable[str] = claims.KeyTable(RETENTION)
     assert table.begin('k', 5.0, 5.0) is claims.Verdict.RUN
     assert table.begin('k', 5.0, 5.0) is claims.Verdict.JOIN
--- a/passpier/tests/core/pace_tests.py
+++ b/passpier/tests/core/pace_tests.py
@@ -1,4 +1,4 @@
-"""Estimates of the duration of an answer."""
+"""Estimates of the duration of a response."""
 
 from __future__ import annotations
 
