--- a/passpier/routing/cache_stores.py
+++ b/passpier/routing/cache_stores.py
@@ -52,7 +52,7 @@
         self._roster = router_roster
         self._is_reader = is_reader
         self._readers: dict[str, _StoreReader] = {}
-        link.handle(messages.Kept, self._handle_kept)
+        link.handle(messages.Kept, self._handle_store_changes)
 
     async def run(self) -> None:
         """Read events while this process is the reader, until cancelled."""
@@ -104,7 +104,7 @@
             self._apply(message)
             self._roster.notify_serving(message)
 
-    def _handle_kept(self, sender: str, address: str, message: messages.Kept) -> None:
+    def _handle_store_changes(self, sender: str, address: str, message: messages.Kept) -> None:
         # The next reader continues from here: all events that a store still keeps would fill a
         # link.
         self._readers.setdefault(message.store, _StoreReader()).next = message.next
--- a/passpier/routing/forwarding.py
+++ b/passpier/routing/forwarding.py
@@ -371,9 +371,9 @@
 
     async def _read_head(self, reader: response_reader.ResponseReader) -> exchanges.Head:
         left = self._admitted.ends_at - clocks.now()
-        attempt_state = self._call.life
+        progress = self._call.life
         may_follow = (
-            attempt_state.repeatable and attempt_state.attempts < attempt_state.max_attempts
+            progress.repeatable and progress.attempts < progress.max_attempts
         )
         wait = left * ATTEMPT_SHARE if may_follow else left
         return await reader.read_head(wait)
@@ -447,8 +447,8 @@
         A stream is taken from a stalled replica only if another one can resume it, since the next
         event may still come.
         """
-        attempt_state = self._call.life
-        can_move = attempt_state.continuable and attempt_state.delivered > 0
+        progress = self._call.life
+        can_move = progress.continuable and progress.delivered > 0
         gap = max(EVENT_GAP_MIN, self._admitted.route.event_gap * EVENT_GAP_FACTOR)
         while True:
             left = self.ends_at - clocks.now()
@@ -465,10 +465,10 @@
 
     def _can_move_stream(self) -> bool:
         """Return whether another replica could resume the stream now."""
-        attempt_state = self._call.life
+        progress = self._call.life
         budget = self._owner.get_budget(self._service)
         return (
-            attempt_state.attempts < attempt_state.max_attempts
+            progress.attempts < progress.max_attempts
             and budget.has_any(clocks.now(), self._owner.daemons)
             and self._owner.dispatcher.has_place(self._call, {*self._excluded, self.upstream})
         )
@@ -480,7 +480,7 @@
 
     async def _handle_failure(self, error: response_reader.AttemptError) -> bool:
         """Decide what follows a failed attempt; return whether there is another one."""
-        attempt_state = self._call.life
+        progress = self._call.life
         now = clocks.now()
         if error.fault is not attempts.Fault.REFUSED:
             self._owner.pools.note_failure(self._last_process)
@@ -497,7 +497,7 @@
             if has_time and self._failed_connects < CONNECT_TRIES:
                 step = attempts.Step.RETRY
         else:
-            step = attempt_state.decide(error.fault, has_time)
+            step = progress.decide(error.fault, has_time)
             if step is not attempts.Step.FAIL and not self._spend_retry(now):
                 step = attempts.Step.FAIL
         self._owner.counters.retries.inc({'step': step.value})
@@ -511,8 +511,8 @@
                 'fault': error.fault.value,
                 'detail': str(error),
                 'step': step.value,
-                'attempts': attempt_state.attempts,
-                'ran': attempt_state.outcome.value,
+                'attempts': progress.attempts,
+                'ran': progress.outcome.value,
                 'time_left': round(self._admitted.ends_at - now, 3),
             },
         )
--- a/passpier/routing/history.py
+++ b/passpier/routing/history.py
@@ -15,11 +15,11 @@
 class ChangeSet(msgspec.Struct, frozen=True):
     """The changes that a peer lacks whose state is complete up to a revision.
 
-    If `whole`, these are all items that exist: keys that are missing from them have been removed.
+    If `is_full`, these are all items that exist: keys that are missing from them have been removed.
     """
 
     items: tuple[registry.Item, ...]
-    whole: bool
+    is_full: bool
 
 
 class History:
--- a/passpier/routing/ingress.py
+++ b/passpier/routing/ingress.py
@@ -130,7 +130,7 @@
         """Requests whose head has arrived, but not the complete body."""
 
         self.accepts_requests: Callable[[], bool] = lambda: True
-        """Whether new requests are accepted; false late in a planned stop."""
+        """Whether new requests are accepted; false late in a drain."""
 
         self.stopping = False
         """Whether each response closes its connection, so that clients connect elsewhere."""
--- a/passpier/routing/knowledge.py
+++ b/passpier/routing/knowledge.py
@@ -104,7 +104,7 @@
 
         Returns false if changes may be missing between the local state and those of the peer.
         """
-        if received.changes.whole:
+        if received.changes.is_full:
             if received.revision >= self.revision:
                 self._apply_all(received.changes.items, received.revision, now, received.awaited)
             return True
--- a/passpier/routing/pools.py
+++ b/passpier/routing/pools.py
@@ -147,17 +147,17 @@
 
         `not_before` is the latest time at which it was certainly not released yet.
         """
-        releases = self.namings.setdefault(model, namings.Namings())
-        releases.forget(now - self.version_bound)
-        return releases.note(version, not_before, now)
+        release_history = self.namings.setdefault(model, namings.Namings())
+        release_history.forget(now - self.version_bound)
+        return release_history.note(version, not_before, now)
 
     def merge_releases(self, model: str, received: Sequence[namings.Naming]) -> None:
         """Merge the lower bounds of release times that a peer knows."""
-        releases = self.namings.get(model)
-        if releases is None or releases.merge(received) < CORRECTION_LOGGED_MIN:
+        release_history = self.namings.get(model)
+        if release_history is None or release_history.merge(received) < CORRECTION_LOGGED_MIN:
             return
         now = clocks.now()
-        ages = {n.version: _compute_age(n, now) for n in releases.known}
+        ages = {n.version: _compute_age(n, now) for n in release_history.known}
         log.info(
             'release time of weights corrected by a peer', extra={'model': model, 'ages': ages}
         )
@@ -334,12 +334,12 @@
         fields: dict[str, object] = {'born': replica.born}
         if replica.signal.limit is not None:
             fields['limit'] = replica.signal.limit
-        releases = self.namings.get(self._models.get(name, ''))
-        if releases is None:
+        release_history = self.namings.get(self._models.get(name, ''))
+        if release_history is None:
             return fields
         version = int(replica.weight_version or 0)
-        fields |= {'weight_version': version, 'named_version': releases.newest}
-        naming = releases.get_outdated(version)
+        fields |= {'weight_version': version, 'named_version': release_history.newest}
+        naming = release_history.get_outdated(version)
         if naming is not None:
             fields['outdated_for'] = _compute_age(naming, clocks.now())
         return fields
@@ -393,12 +393,12 @@
         if not version:
             # The responses of an engine with unknown weights can't be attributed to any version.
             return not self._models.get(replica.name)
-        releases = self.namings.get(self._models.get(replica.name, ''))
-        if releases is None or version >= releases.newest:
+        release_history = self.namings.get(self._models.get(replica.name, ''))
+        if release_history is None or version >= release_history.newest:
             return True
         # The request begins once the engine has prefilled those queued before it.
         wait = replicas.estimate_backlog(replica, now) * replica.seconds_per_token
-        return releases.may_use(version, self.version_bound, now + wait)
+        return release_history.may_use(version, self.version_bound, now + wait)
 
     def _prefer_new_weights(
         self, usable: dict[str, replicas.Replica], now: float
@@ -409,11 +409,11 @@
         return new if ready >= max(1.0, len(usable) * NEW_WEIGHTS_SHARE) else usable
 
     def _is_outdated(self, replica: replicas.Replica, now: float) -> bool:
-        releases = self.namings.get(self._models.get(replica.name, ''))
+        release_history = self.namings.get(self._models.get(replica.name, ''))
         version = int(replica.weight_version or 0)
-        if not version or releases is None:
+        if not version or release_history is None:
             return False
-        return releases.is_outdated(version, now, OLD_WEIGHTS_GRACE)
+        return release_history.is_outdated(version, now, OLD_WEIGHTS_GRACE)
 
     def _add_process(self, entry: catalogue.Entry) -> None:
         """Start tracking a replica process, with no learnt state."""
--- a/passpier/routing/rate_limiting.py
+++ b/passpier/routing/rate_limiting.py
@@ -73,7 +73,7 @@
         self._turns = turns.Turns()
         self._connected = asyncio.Event()
         self._contacted_at = float('-inf')
-        link.handle(messages.Spent, self._handle_spent)
+        link.handle(messages.Spent, self._handle_usage)
 
     async def run(self) -> None:
         """Send messages to the other processes until cancelled."""
@@ -184,10 +184,10 @@
     def _send(self, name: str, address: str, now: float) -> None:
         self._sent_at[name] = now
         number, confirmed, knows, rows = self.book.tell(name, now)
-        spent_rows = [(row.account, row.spent, row.left) for row in rows]
-        self._peers.send(address, messages.Spent(number, confirmed, knows, spent_rows))
+        usage_rows = [(row.account, row.spent, row.left) for row in rows]
+        self._peers.send(address, messages.Spent(number, confirmed, knows, usage_rows))
 
-    def _handle_spent(self, sender: str, address: str, message: messages.Spent) -> None:
+    def _handle_usage(self, sender: str, address: str, message: messages.Spent) -> None:
         now = clocks.now()
         self.sync(now)
         was_in_touch = self.book.is_in_touch(sender, now)
--- a/passpier/routing/relaying.py
+++ b/passpier/routing/relaying.py
@@ -59,8 +59,8 @@
         self._spread = rng.uniform(0, FALLBACK_SPREAD)
         self._rounds = 0
         self._reads = True
-        link.handle(messages.ProofWanted, self._handle_proof_wanted)
-        link.handle(messages.Proof, self._handle_proof)
+        link.handle(messages.ProofWanted, self._handle_freshness_request)
+        link.handle(messages.Proof, self._handle_freshness_proof)
 
     def is_reader(self, now: float) -> bool:
         """Return whether this process is one of those that read the registry."""
@@ -118,7 +118,7 @@
         query = messages.ProofWanted(now, state.revision, not state.is_ready())
         self._peers.send_all(addresses, query)
 
-    def _handle_proof_wanted(
+    def _handle_freshness_request(
         self, sender: str, address: str, message: messages.ProofWanted
     ) -> None:
         now = clocks.now()
@@ -136,12 +136,12 @@
             message.revision,
             state.revision,
             state.catalogue.list_awaited(now),
-            changes.whole,
+            changes.is_full,
             encode_items(changes.items),
         )
         self._peers.send(address, proof)
 
-    def _handle_proof(self, sender: str, address: str, message: messages.Proof) -> None:
+    def _handle_freshness_proof(self, sender: str, address: str, message: messages.Proof) -> None:
         now = clocks.now()
         state = self._registry_state
         if message.items or message.whole:
@@ -154,13 +154,13 @@
         # The peer replied after the query was sent, so its ages count from that time at the latest.
         state.apply_freshness(message.revision, message.sent_at - message.age)
         for named in message.weights:
-            releases = [namings.Naming(v, message.sent_at - age) for v, age in named.ages]
-            state.pools.merge_releases(named.model, releases)
+            peer_releases = [namings.Naming(v, message.sent_at - age) for v, age in named.ages]
+            state.pools.merge_releases(named.model, peer_releases)
 
 
-def export_releases(model: str, releases: namings.Namings, now: float) -> messages.Named:
+def export_releases(model: str, release_history: namings.Namings, now: float) -> messages.Named:
     """Return the releases of a model's weights in the form that peers are sent."""
-    return messages.Named(model, [(n.version, now - n.not_before) for n in releases.known])
+    return messages.Named(model, [(n.version, now - n.not_before) for n in release_history.known])
 
 
 _decoder = msgspec.msgpack.Decoder(tuple[registry.Item, ...])
--- a/passpier/routing/requests.py
+++ b/passpier/routing/requests.py
@@ -64,7 +64,7 @@
         priority=priority,
         deadline_ms=max(1, int(hold * 1000)),
     )
-    attempt_state = attempts.Life(
+    progress = attempts.Life(
         route.kind.is_repeatable,
         resumable=False,
         continuable=route.kind is routes.Kind.RESUMABLE_STREAM,
@@ -77,7 +77,7 @@
         admitted.client_request.target,
         'cost' if prompt else 'least_load',
         admitted.arrived_at,
-        attempt_state,
+        progress,
     )
     if prompt is None:
         call.job = choice.Job([], 1, 0, priority=priority)
--- a/passpier/routing/roster.py
+++ b/passpier/routing/roster.py
@@ -67,7 +67,7 @@
         self._lease = 0
         self._departed = False
         link.handle(messages.Heartbeat, self._handle_heartbeat)
-        link.handle(messages.MembersWanted, self._handle_members_wanted)
+        link.handle(messages.MembersWanted, self._handle_members_request)
         link.handle(messages.Members, self._handle_members)
         link.handle(messages.Goodbye, self._handle_goodbye)
 
@@ -195,7 +195,7 @@
         if unknown:
             self._peers.send(address, messages.MembersWanted(unknown))
 
-    def _handle_members_wanted(
+    def _handle_members_request(
         self, sender: str, address: str, message: messages.MembersWanted
     ) -> None:
         wanted = message.incarnations
--- a/passpier/routing/router.py
+++ b/passpier/routing/router.py
@@ -47,7 +47,7 @@
 log = logging.getLogger(__name__)
 
 STOP_CHECK = 0.05
-"""Seconds between checks whether a planned stop is complete."""
+"""Seconds between checks whether a drain is complete."""
 
 RESPONSE_LIFETIMES = 3
 """Number of lifetimes for which some clients keep a response of the directory."""
@@ -65,7 +65,7 @@
 takes a few."""
 
 QUIET_BEFORE_STOP = 0.3
-"""Seconds without a request before a planned stop ends, since one may be on its way."""
+"""Seconds without a request before a drain ends, since one may be on its way."""
 
 DAEMONS_AT_START = 32
 """Processes assumed to share the retry budget until the others are known: after a power failure all
@@ -159,7 +159,7 @@
             sources.Sources(self.pools), self.roster.membership, self.peers
         )
         self.prober = probing.Prober(self.known, adapter.engines, self.roster.notify_serving)
-        self.peers.handle(messages.Silent, self._handle_silent)
+        self.peers.handle(messages.Silent, self._handle_unresponsive)
         membership = self.roster.membership
         self.suspects = suspects.Suspects(
             membership, self.peers, self.prober.has_ended, lambda: membership.choose_targets(rng)
@@ -173,7 +173,7 @@
         )
         self.pools.on_signal = self.throttling.handle_signal
         self.pools.on_leaving = self._notify_departing
-        self.peers.handle(messages.Departing, self._handle_departing)
+        self.peers.handle(messages.Departing, self._handle_replica_leaving)
         # Routing decisions can't be queried from this process, they are only logged.
         request_dispatcher = dispatcher.Dispatcher(self.pools, self.counters, rng, decisions_kept=0)
         self.forwarder = forwarding.Forwarder(
@@ -206,7 +206,7 @@
         self._client_server = self.ingress.build_server()
 
     async def run(self) -> None:
-        """Serve until a planned stop is complete."""
+        """Serve until a drain is complete."""
         source = self.adapter.source
         # Before the tasks, so that a port in use fails the start without other effects.
         servers = self._listen()
@@ -278,7 +278,7 @@
         await self.peers.flush()
 
     def begin_stop(self, not_later: float | None = None) -> None:
-        """Start a planned stop; a second call has no effect.
+        """Start a drain; a second call has no effect.
 
         Its times count from `not_later`, or from now: see `turned_at`.
         """
@@ -302,7 +302,7 @@
         self._stopping.set()
 
     def force_stop(self) -> None:
-        """End a planned stop early, or stop at once: requests in progress are ended as they are."""
+        """End a drain early, or stop at once: requests in progress are ended as they are."""
         self.begin_stop()
         self._drain.force()
         log.info('stop forced', extra={'in_flight': self.ingress.in_flight})
@@ -320,7 +320,7 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether a planned stop has begun."""
+        """Whether a drain has begun."""
         return self._drain.began_at is not None
 
     def is_ready(self) -> bool:
@@ -329,13 +329,13 @@
         fresh = self.known.freshness.is_fresh(now)
         return self.known.is_ready() and fresh and not self.roster.leaving
 
-    def _handle_silent(self, sender: str, address: str, message: messages.Silent) -> None:
+    def _handle_unresponsive(self, sender: str, address: str, message: messages.Silent) -> None:
         self.prober.probe(message.life)
 
     def _notify_departing(self, process: lives.Life) -> None:
         self.roster.notify_serving(messages.Departing(process.id, process.born))
 
-    def _handle_departing(self, sender: str, address: str, message: messages.Departing) -> None:
+    def _handle_replica_leaving(self, sender: str, address: str, message: messages.Departing) -> None:
         self.pools.mark_leaving(message.life, sender)
 
     def _accepts_requests(self) -> bool:
--- a/passpier/tests/routing/relaying_tests.py
+++ b/passpier/tests/routing/relaying_tests.py
@@ -196,7 +196,7 @@
     assert changes == history.ChangeSet((registry.Item('k3', b'', 10, removed=True),), False)
     change_history.mark_incomplete_until(10)
     changes = change_history.list_since(9)
-    assert changes.whole
+    assert changes.is_full
     assert {i.key for i in changes.items} == {f'k{n}' for n in range(1, 10)} - {'k3'}
 
 
@@ -204,8 +204,8 @@
     change_history = history.History()
     for number in range(1, history.MAX_REMOVALS + 10):
         change_history.note(registry.Item(f'k{number}', b'', number, removed=True))
-    assert change_history.list_since(5).whole
-    assert not change_history.list_since(9).whole
+    assert change_history.list_since(5).is_full
+    assert not change_history.list_since(9).is_full
 
 
 @pytest.mark.parametrize('size', [0, 1, 500])
