--- a/passpier/routing/forwarding.py
+++ b/passpier/routing/forwarding.py
@@ -372,9 +372,7 @@
     async def _read_head(self, reader: response_reader.ResponseReader) -> exchanges.Head:
         left = self._admitted.ends_at - clocks.now()
         progress = self._call.life
-        may_follow = (
-            progress.repeatable and progress.attempts < progress.max_attempts
-        )
+        may_follow = progress.repeatable and progress.attempts < progress.max_attempts
         wait = left * ATTEMPT_SHARE if may_follow else left
         return await reader.read_head(wait)
 
--- a/passpier/routing/router.py
+++ b/passpier/routing/router.py
@@ -26,7 +26,7 @@
     tasks,
 )
 from passpier.routing import (
-    cache_stores,
+    cache_store_follower,
     dialect,
     forwarding,
     ingress,
@@ -147,7 +147,7 @@
             options,
             rng,
         )
-        self.cache_store_follower = cache_stores.CacheStoreFollower(
+        self.cache_store_follower = cache_store_follower.CacheStoreFollower(
             self.pools,
             adapter.engines,
             self.roster,
@@ -335,7 +335,9 @@
     def _notify_departing(self, process: lives.Life) -> None:
         self.roster.notify_serving(messages.Departing(process.id, process.born))
 
-    def _handle_replica_leaving(self, sender: str, address: str, message: messages.Departing) -> None:
+    def _handle_replica_leaving(
+        self, sender: str, address: str, message: messages.Departing
+    ) -> None:
         self.pools.mark_leaving(message.life, sender)
 
     def _accepts_requests(self) -> bool:
--- a/passpier/tests/routing/cache_stores_tests.py
+++ b/passpier/tests/routing/cache_store_follower_tests.py
@@ -7,7 +7,7 @@
 
 from passpier.core import kept, routes
 from passpier.daemon import messages
-from passpier.routing import cache_stores, dialect, pools
+from passpier.routing import cache_store_follower, dialect, pools
 from passpier.standins import virtual
 
 STORE = '10.0.0.9:80'
@@ -44,12 +44,12 @@
 
 def make_follower(
     engines: Engines, is_reader: list[bool]
-) -> tuple[cache_stores.CacheStoreFollower, Link, pools.Pools]:
+) -> tuple[cache_store_follower.CacheStoreFollower, Link, pools.Pools]:
     known = pools.Pools(10.0)
     store = routes.CacheStore(STORE, 'd0', 1000)
     known.apply_configuration(routes.Configuration(1, cache_stores=(store,)))
     link = Link()
-    follower = cache_stores.CacheStoreFollower(
+    follower = cache_store_follower.CacheStoreFollower(
         known, cast(Any, engines), cast(Any, link), cast(Any, link), lambda: is_reader[0]
     )
     return follower, link, known
