--- a/passpier/daemon/callers.py
+++ b/passpier/daemon/callers.py
@@ -81,7 +81,7 @@
             self.app.requests.discard(self)
 
     def cancel(self) -> None:
-        """Cancel the work because the daemon stops; the caller gets a final answer."""
+        """Cancel the work because the daemon stops; the caller gets a final response."""
         if self._work is not None:
             self._work.cancel()
 
@@ -102,7 +102,7 @@
             self._write_cancelled()
 
     def _write_cancelled(self) -> None:
-        """Send the final answer of a cancelled request, unless its answer is already complete."""
+        """Send the final response of a cancelled request, unless one was sent completely."""
         call = self._call
         if call is not None and call.life.completed and self._headers_written:
             return
@@ -139,15 +139,15 @@
             self.set_header('Retry-After', f'{max(1, round(failure.retry_after))}')
         self.write(body)
 
-    def write_answer(self, answer: answers.Answer) -> None:
-        """Send a complete answer."""
-        self.set_status(answer.status)
-        self.set_header('Content-Type', answer.content_type)
+    def write_answer(self, response: answers.Answer) -> None:
+        """Send a complete response."""
+        self.set_status(response.status)
+        self.set_header('Content-Type', response.content_type)
         self.set_header('X-Passpier-Outcome', exceptions.Outcome.RAN.value)
         self.set_header('X-Request-Id', self.id)
-        if answer.repeated:
+        if response.repeated:
             self.set_header('X-Passpier-Repeated', '1')
-        self.write(answer.body)
+        self.write(response.body)
 
     def build_call(self, path: str, service_name: str = '') -> calls.Call:
         """Return the validated call of the request; raises `RequestFailedError`."""
@@ -186,11 +186,11 @@
             self.app.check_can_finish(call)
             await self._stream(call)
             return
-        answer = await self.app.run(call)
-        if call.body.get('stream') and answer.status == 200:
-            await self._replay(call, answer)
+        response = await self.app.run(call)
+        if call.body.get('stream') and response.status == 200:
+            await self._replay(call, response)
         else:
-            self.write_answer(answer)
+            self.write_answer(response)
 
     async def _stream(self, call: calls.Call) -> None:
         async with contextlib.aclosing(self.app.stream(call)) as pieces:
@@ -201,9 +201,9 @@
                 await self.flush()
         self.app.count_answer(call)
 
-    async def _replay(self, call: calls.Call, answer: answers.Answer) -> None:
-        """Send a stored answer, which may not be computed again, as a stream."""
-        body = msgspec.json.decode(answer.body)
+    async def _replay(self, call: calls.Call, response: answers.Answer) -> None:
+        """Send a stored response, which may not be computed again, as a stream."""
+        body = msgspec.json.decode(response.body)
         choice = body['choices'][0]
         text = choice['message']['content'] if call.chat else choice['text']
         usage = msgspec.convert(body['usage'], engines.Usage)
--- a/passpier/daemon/calls.py
+++ b/passpier/daemon/calls.py
@@ -66,7 +66,7 @@
 
     @property
     def max_tokens(self) -> int:
-        """Maximum number of tokens of the answer."""
+        """Maximum number of tokens of the response."""
         return int(self.body.get('max_tokens') or 16)
 
     def fail(
--- a/passpier/daemon/dispatcher.py
+++ b/passpier/daemon/dispatcher.py
@@ -65,7 +65,7 @@
     choice: choice.Choice
 
 
-class _Waiting(msgspec.Struct):
+class _QueuedAttempt(msgspec.Struct):
     """An attempt that waits for its placement."""
 
     call: calls.Call
@@ -78,7 +78,7 @@
     """A pool's queue and its measured drain rate, in tokens per second."""
 
     def __init__(self) -> None:
-        self.queue: admission.FairQueue[_Waiting] = admission.FairQueue()
+        self.queue: admission.FairQueue[_QueuedAttempt] = admission.FairQueue()
         self.rate = 0.0
         self.last_placed_at = 0.0
         self.worker: asyncio.Task[None] | None = None
@@ -107,7 +107,7 @@
     ) -> Placement | exceptions.Failure:
         """Return the placement of an attempt, or the failure; waits while all replicas are full."""
         pool = self._pools[call.service.pool]
-        waiting = _Waiting(
+        waiting = _QueuedAttempt(
             call, frozenset(exclude), attempt, asyncio.get_running_loop().create_future()
         )
         if not len(pool.queue):
@@ -158,7 +158,7 @@
         """Return the number of queued calls."""
         return sum(len(pool.queue) for pool in self._pools.values())
 
-    def _end_unclaimed(self, waiting: _Waiting) -> None:
+    def _end_unclaimed(self, waiting: _QueuedAttempt) -> None:
         """End a placement that was made just before its waiting task was cancelled."""
         if not waiting.result.done() or waiting.result.cancelled():
             return
@@ -166,7 +166,7 @@
         if isinstance(placed, Placement):
             self.end(placed)
 
-    def _try_place(self, waiting: _Waiting) -> Placement | exceptions.Failure | None:
+    def _try_place(self, waiting: _QueuedAttempt) -> Placement | exceptions.Failure | None:
         call = waiting.call
         now = clocks.now()
         usable = self._list_usable(waiting)
@@ -193,7 +193,7 @@
         self._count_waste(call, chosen)
         return Placement(call, replica, waiting.attempt, chosen)
 
-    def _check_ready(self, waiting: _Waiting) -> exceptions.Failure | None:
+    def _check_ready(self, waiting: _QueuedAttempt) -> exceptions.Failure | None:
         """Refuse a call whose deadline passes before any upstream accepts another request."""
         call = waiting.call
         now = clocks.now()
@@ -208,7 +208,7 @@
             exceptions.Code.OVERLOADED, call.life.outcome, message, retry_after
         )
 
-    def _list_usable(self, waiting: _Waiting) -> list[replicas.Replica]:
+    def _list_usable(self, waiting: _QueuedAttempt) -> list[replicas.Replica]:
         """Return the upstreams for a call, including excluded ones only if there are no others."""
         call = waiting.call
         serving = self._upstreams.list_serving(call.service.pool, call.weight_version)
@@ -237,7 +237,7 @@
         serving = self._upstreams.list_serving(call.service.pool)
         return sum(1 / r.seconds_per_token for r in serving) or 1.0
 
-    def _make_ticket(self, waiting: _Waiting) -> admission.Ticket[_Waiting]:
+    def _make_ticket(self, waiting: _QueuedAttempt) -> admission.Ticket[_QueuedAttempt]:
         call = waiting.call
         return admission.Ticket(
             waiting,
@@ -296,7 +296,11 @@
             self._refuse(ticket.item, exceptions.Code.DEADLINE, message, 0.5)
 
     def _refuse(
-        self, waiting: _Waiting, code: exceptions.Code, message: str, retry_after: float | None
+        self,
+        waiting: _QueuedAttempt,
+        code: exceptions.Code,
+        message: str,
+        retry_after: float | None,
     ) -> None:
         failure = exceptions.Failure(code, waiting.call.life.outcome, message, retry_after)
         self._log_refusal(waiting.call, failure)
--- a/passpier/daemon/fleet.py
+++ b/passpier/daemon/fleet.py
@@ -247,7 +247,7 @@
         self.upstreams.cache.absorb(snapshot, clocks.now())
 
     def _get_register_interval(self) -> float:
-        # Each answer also confirms that this daemon may use its units.
+        # Each response also confirms that this daemon may use its units.
         return min(self.options.lease_ttl, shares.FENCE_SECONDS) / 3
 
     async def _register(self) -> None:
--- a/passpier/daemon/generation.py
+++ b/passpier/daemon/generation.py
@@ -52,7 +52,7 @@
 
 
 class Piece(msgspec.Struct, frozen=True):
-    """Part of an answer's text; the last one has the finish reason and the usage."""
+    """Part of a response's text; the last one has the finish reason and the usage."""
 
     text: str
     finish_reason: str | None = None
@@ -99,7 +99,7 @@
         self.pace = pace.Pace()
 
     def run(self, call: calls.Call) -> AsyncGenerator[Piece, None]:
-        """Yield the answer's pieces in order; raises `RequestFailedError` on failure."""
+        """Yield the response's pieces in order; raises `RequestFailedError` on failure."""
         return _Run(self, call).run()
 
 
@@ -127,7 +127,7 @@
         """Whether the current attempt is registered with `Suspects` as running."""
 
     async def run(self) -> AsyncGenerator[Piece, None]:
-        """Yield pieces until the answer is complete."""
+        """Yield pieces until the response is complete."""
         try:
             while True:
                 try:
@@ -153,7 +153,7 @@
             self._call.life.may_have_run = True
             raise
         finally:
-            # Only the end mark follows a complete answer, so its connection can be reused.
+            # Only the end mark follows a complete response, so its connection can be reused.
             if not self._tracker.ended:
                 exchange.abort()
 
@@ -267,7 +267,7 @@
             raise _AttemptError(fault, 'no answer in time') from error
         identity = engines.parse_identity(head.headers)
         before = replica.incarnation
-        self._owner.upstreams.learn_identity(replica, identity)
+        self._owner.upstreams.update_identity(replica, identity)
         self._process = identify_process(replica)
         if head.status != 200:
             refused = (
@@ -416,7 +416,7 @@
             call.life.resumes = attempts.MAX_RESUMES
         now = clocks.now()
         step = call.life.decide(fault, True)
-        # A stream that has begun is continued whatever the budget: its caller has half an answer.
+        # A stream that has begun is continued whatever the budget: its caller has half a response.
         if step is attempts.Step.RETRY and not self._owner.budget.spend(now):
             step = attempts.Step.FAIL
         self._log_fault(error, step)
--- a/passpier/daemon/limits.py
+++ b/passpier/daemon/limits.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 BORROW_TIMEOUT = 0.25
-"""Seconds to wait for the answer of a peer that may lend a unit."""
+"""Seconds to wait for the response of a peer that may lend a unit."""
 
 FIRST_SHARE_TIMEOUT = 3.0
 """Seconds for which requests wait for the first share of a daemon that has just started."""
@@ -195,15 +195,15 @@
         self._peers.send(address, messages.Borrow(loan, account))
         granted = False
         try:
-            answer = await self._replies.wait(loan, BORROW_TIMEOUT)
-            granted = isinstance(answer, messages.Lent) and answer.granted
+            response = await self._replies.wait(loan, BORROW_TIMEOUT)
+            granted = isinstance(response, messages.Lent) and response.granted
         finally:
-            # Also runs if the request is cancelled while the answer is pending.
+            # Also runs if the request is cancelled while the response is pending.
             if not granted:
                 del self._borrowed[loan]
         if granted:
             return Unit(account, loan, address), 0.0
-        return None, answer.retry_after if isinstance(answer, messages.Lent) else 0.0
+        return None, response.retry_after if isinstance(response, messages.Lent) else 0.0
 
     def _handle_borrow(self, sender: str, address: str, message: messages.Borrow) -> None:
         granted = self.book.lend(message.loan, message.account, sender, clocks.now())
--- a/passpier/daemon/main.py
+++ b/passpier/daemon/main.py
@@ -48,7 +48,7 @@
 """Seconds between checks whether the drain is complete."""
 
 FINAL_ANSWER_TIMEOUT = 1.0
-"""Seconds after the bound of a drain for sending the final answers of cancelled requests."""
+"""Seconds after the bound of a drain for sending the final responses of cancelled requests."""
 
 BODY_MARGIN = 64 * 1024
 """Bytes over the body limit that are still read, so that a refusal can be sent."""
@@ -160,7 +160,7 @@
             await self._cancel_all()
 
     async def _cancel_all(self) -> None:
-        """Cancel all requests in progress, each with a final answer."""
+        """Cancel all requests in progress, each with a final response."""
         log.warning(
             'stopped with requests running',
             extra={'cut': self.service.in_flight, 'hurried': self.fleet.drain.forced},
--- a/passpier/daemon/messages.py
+++ b/passpier/daemon/messages.py
@@ -26,7 +26,7 @@
 
 
 class Members(Message, tag='mm'):
-    """Member records, as an answer or an introduction of the sender."""
+    """Member records, as a response or an introduction of the sender."""
 
     members: list[members.Member]
 
@@ -156,7 +156,7 @@
 
 
 class Forwarded(Message, tag='fd'):
-    """The answer to `Forward`; `failure` is empty or a JSON-encoded failure."""
+    """The response to `Forward`; `failure` is empty or a JSON-encoded failure."""
 
     id: str
     status: int
--- a/passpier/daemon/once.py
+++ b/passpier/daemon/once.py
@@ -33,7 +33,7 @@
 
 CLAIM_TRIES = 3
 FORWARD_TIMEOUT = 15.0
-"""Seconds to wait for the answer of a key's home daemon."""
+"""Seconds to wait for the response of a key's home daemon."""
 
 UNKNOWN = exceptions.Outcome.UNKNOWN
 NOT_RUN = exceptions.Outcome.NOT_RUN
@@ -74,7 +74,7 @@
         link.handle(messages.Forwarded, self._handle_answer)
 
     async def run(self, call: calls.Call) -> answers.Answer:
-        """Return the answer of a call with a key; raises `RequestFailedError`."""
+        """Return the response of a call with a key; raises `RequestFailedError`."""
         key = claims.parse_key(call.key)
         if isinstance(key, claims.Opaque):
             return await self._run_here(call, clocks.read_time_of_day(), True)
@@ -103,24 +103,24 @@
         if verdict in (claims.Verdict.RUN, claims.Verdict.JOIN):
             return await asyncio.shield(self._running[name])
         if verdict is claims.Verdict.ANSWER:
-            answer = self._table.get_answer(name)
-            assert answer is not None
-            return answers.Answer(answer.status, answer.content_type, answer.body, True)
+            response = self._table.get_answer(name)
+            assert response is not None
+            return answers.Answer(response.status, response.content_type, response.body, True)
         raise calls.RequestFailedError(_FAILURES[verdict])
 
     async def _run_key(self, name: str, call: calls.Call, opaque: bool) -> answers.Answer:
         """Run a key that is marked as running, and record its result."""
         holds_key = not opaque
         may_have_run = False
-        answer = None
+        response = None
         try:
             if opaque:
                 holder = await self._claim(name)
                 if holder != self._membership.own.incarnation:
                     return await self._forward(call, holder)
                 holds_key = True
-            answer = await self._execute_cancellable(call)
-            return answer
+            response = await self._execute_cancellable(call)
+            return response
         except calls.RequestFailedError as error:
             may_have_run = error.failure.outcome is not exceptions.Outcome.NOT_RUN
             if opaque and holds_key and not may_have_run:
@@ -133,8 +133,8 @@
             raise
         finally:
             del self._running[name]
-            if answer is not None:
-                self._table.finish(name, answer, len(answer.body))
+            if response is not None:
+                self._table.finish(name, response, len(response.body))
             else:
                 self._table.fail(name, holds_key and may_have_run)
 
@@ -185,13 +185,13 @@
             call.content_type,
         )
         self._peers.send(member.peer, message)
-        answer = await self._replies.wait(id, FORWARD_TIMEOUT)
-        if not isinstance(answer, messages.Forwarded):
+        response = await self._replies.wait(id, FORWARD_TIMEOUT)
+        if not isinstance(response, messages.Forwarded):
             raise _make_unreachable_error(call)
-        if answer.failure:
-            failure = msgspec.json.decode(answer.failure, type=exceptions.Failure)
+        if response.failure:
+            failure = msgspec.json.decode(response.failure, type=exceptions.Failure)
             raise calls.RequestFailedError(failure)
-        return answers.Answer(answer.status, answer.content_type, answer.body)
+        return answers.Answer(response.status, response.content_type, response.body)
 
     def _handle_answer(self, sender: str, address: str, message: messages.Forwarded) -> None:
         self._replies.resolve(message.id, message)
@@ -256,7 +256,7 @@
         # Only this incarnation can have run the key, and its table shows whether it did.
         if not self._table.covers(found.claimed_at):
             return ''
-        # A release without an answer may still take effect; rewriting the claim makes it fail.
+        # A release without a response may still take effect; rewriting the claim makes it fail.
         put = store_clients.Put(key, msgspec.json.encode(record), await self._get_lease())
         renewed = await self._store.write([put], [store_clients.IsAt(key, value.mod_revision)])
         return self._incarnation if renewed else None
--- a/passpier/daemon/operators.py
+++ b/passpier/daemon/operators.py
@@ -153,8 +153,8 @@
         id = uuid.uuid4().hex
         for member in self._app.fleet.membership.list_known():
             self._peers.send(member.peer, messages.ExplainWanted(id, request))
-        answer = await self._replies.wait(id, EXPLAIN_TIMEOUT)
-        return answer.decisions if isinstance(answer, messages.Explained) else []
+        response = await self._replies.wait(id, EXPLAIN_TIMEOUT)
+        return response.decisions if isinstance(response, messages.Explained) else []
 
     def _send_decisions(self, sender: str, address: str, message: messages.ExplainWanted) -> None:
         found = self._app.dispatcher.list_decisions(message.request)
@@ -180,11 +180,11 @@
             self.set_status(401)
             self.write({'error': 'the operator secret is missing or wrong'})
             return
-        answer = await jsonrpcserver.async_dispatch(
+        response = await jsonrpcserver.async_dispatch(
             self.request.body.decode(errors='replace'), methods=self._operators.methods
         )
         self.set_header('Content-Type', 'application/json')
-        self.write(str(answer))
+        self.write(str(response))
 
 
 def build_application(operators: Operators, secret: str) -> tornado.web.Application:
--- a/passpier/daemon/peers.py
+++ b/passpier/daemon/peers.py
@@ -161,13 +161,13 @@
 
 
 class Replies:
-    """Matches answers of peers to pending requests by id."""
+    """Matches responses of peers to pending requests by id."""
 
     def __init__(self) -> None:
         self._waiting: dict[str, asyncio.Future[messages.Message]] = {}
 
     async def wait(self, id: str, timeout: float) -> messages.Message | None:
-        """Return the answer, or none after `timeout` seconds."""
+        """Return the response, or none after `timeout` seconds."""
         future = self._waiting[id] = asyncio.get_running_loop().create_future()
         try:
             return await asyncio.wait_for(future, timeout)
@@ -176,10 +176,10 @@
         finally:
             del self._waiting[id]
 
-    def resolve(self, id: str, answer: messages.Message) -> bool:
-        """Pass an answer to the pending request; false if it is no longer pending."""
+    def resolve(self, id: str, response: messages.Message) -> bool:
+        """Pass a response to the pending request; false if it is no longer pending."""
         future = self._waiting.get(id)
         if future is None or future.done():
             return False
-        future.set_result(answer)
+        future.set_result(response)
         return True
--- a/passpier/daemon/placement.py
+++ b/passpier/daemon/placement.py
@@ -93,7 +93,7 @@
             'fence': book.fence,
         }
         try:
-            answer = await self._engines.order(replica.address, body, orders.LONGEST_ORDER)
+            response = await self._engines.order(replica.address, body, orders.LONGEST_ORDER)
         except web.ExchangeError as error:
             # The engine may still execute the order, so it stays open until it must have ended.
             log.warning(
@@ -101,7 +101,7 @@
             )
             return
         book.finish(wanted.upstream)
-        log.info('order answered', extra={'upstream': wanted.upstream, 'status': answer.status})
+        log.info('order answered', extra={'upstream': wanted.upstream, 'status': response.status})
 
 
 def list_wanted(config: directory.Directory) -> list[orders.Wanted]:
--- a/passpier/daemon/plain.py
+++ b/passpier/daemon/plain.py
@@ -43,7 +43,7 @@
         self._rng = rng
 
     async def run(self, call: calls.Call) -> answers.Answer:
-        """Return the service's answer; raises `RequestFailedError`."""
+        """Return the service's response; raises `RequestFailedError`."""
         excluded: set[str] = set()
         while True:
             attempt = f'{call.id}-{call.life.attempts}'
@@ -51,15 +51,15 @@
             if isinstance(placement, exceptions.Failure):
                 raise calls.RequestFailedError(placement)
             try:
-                answer = await self._try(call, placement)
+                response = await self._try(call, placement)
             finally:
                 self._dispatcher.end(placement)
-            if isinstance(answer, answers.Answer):
+            if isinstance(response, answers.Answer):
                 self._budget.note_success()
                 self._upstreams.ejector.note_success(placement.replica.name)
-                return answer
+                return response
             excluded.add(placement.replica.name)
-            await self._recover(call, placement, answer)
+            await self._recover(call, placement, response)
 
     async def _try(
         self, call: calls.Call, placement: dispatcher.Placement
@@ -71,7 +71,7 @@
         url = f'http://{placement.replica.address}{call.path}'
         try:
             body = call.raw if call.method != 'GET' else None
-            answer = await self._client.fetch(
+            response = await self._client.fetch(
                 call.method, url, body, headers, get_timeout(call), reuse=call.life.repeatable
             )
         except asyncio.CancelledError:
@@ -80,13 +80,13 @@
         except web.ExchangeError as error:
             return attempts.Fault.NO_ANSWER if error.sent else attempts.Fault.NOT_CONNECTED
         replicas.note_first_token(placement.replica, placement.attempt, clocks.now())
-        if answer.status == 503 and answer.headers.get('X-Outcome') == 'not_run':
+        if response.status == 503 and response.headers.get('X-Outcome') == 'not_run':
             return attempts.Fault.REFUSED
-        if answer.status >= 500:
+        if response.status >= 500:
             return attempts.Fault.FAILED
         call.life.completed = True
-        content_type = answer.headers.get('Content-Type', 'application/octet-stream')
-        return answers.Answer(answer.status, content_type, answer.body)
+        content_type = response.headers.get('Content-Type', 'application/octet-stream')
+        return answers.Answer(response.status, content_type, response.body)
 
     async def _recover(
         self, call: calls.Call, placement: dispatcher.Placement, fault: attempts.Fault
--- a/passpier/daemon/service.py
+++ b/passpier/daemon/service.py
@@ -39,7 +39,7 @@
     """A request of a caller in progress."""
 
     def cancel(self) -> None:
-        """Cancel the request and send a final answer."""
+        """Cancel the request and send a final response."""
 
 
 class Service:
@@ -104,7 +104,7 @@
         return False
 
     async def cancel_all(self, timeout: float) -> None:
-        """Cancel all requests in progress, each with a final answer.
+        """Cancel all requests in progress, each with a final response.
 
         Runs of keys are cancelled first, for up to `timeout` seconds, so that all requests waiting
         for them get their outcome.
@@ -114,14 +114,14 @@
             request.cancel()
 
     async def run(self, call: calls.Call) -> answers.Answer:
-        """Return the complete answer of a call; raises `RequestFailedError`."""
+        """Return the complete response of a call; raises `RequestFailedError`."""
         if call.key:
-            answer = await self._once.run(call)
+            response = await self._once.run(call)
         else:
             self.check_can_finish(call)
-            answer = await self._execute(call)
+            response = await self._execute(call)
         self.count_answer(call)
-        return answer
+        return response
 
     async def stream(self, call: calls.Call) -> AsyncGenerator[generation.Piece, None]:
         """Yield the pieces of a model call within the limit of its account."""
@@ -179,9 +179,9 @@
         unit = await self._acquire(call)
         used = 0
         try:
-            answer = await self._plain.run(call)
-            used = blocks.count_tokens(call.raw + answer.body)
-            return answer
+            response = await self._plain.run(call)
+            used = blocks.count_tokens(call.raw + response.body)
+            return response
         finally:
             self.fleet.limits.release(unit, used)
 
@@ -211,9 +211,9 @@
     async def _handle_forward(self, sender: str, address: str, message: messages.Forward) -> None:
         self._forwarded += 1
         try:
-            answer = await self._run_forward(message)
+            response = await self._run_forward(message)
             forwarded = messages.Forwarded(
-                message.id, answer.status, answer.content_type, answer.body, b''
+                message.id, response.status, response.content_type, response.body, b''
             )
         except calls.RequestFailedError as error:
             encoded = msgspec.json.encode(error.failure)
--- a/passpier/daemon/storage.py
+++ b/passpier/daemon/storage.py
@@ -82,8 +82,8 @@
     ) -> revisions.Revision | int:
         """Write a configuration based on revision `base`.
 
-        Returns the accepted revision, or the number of a conflicting one. If the answer of a write
-        is lost, the index is read back, and its nonce shows whose write took effect.
+        Returns the accepted revision, or the number of a conflicting one. If the response of a
+        write is lost, the index is read back, and its nonce shows whose write took effect.
         """
         parts = revisions.split_document(document)
         names = tuple(revisions.hash_chunk(part) for part in parts)
--- a/passpier/daemon/upstreams.py
+++ b/passpier/daemon/upstreams.py
@@ -21,7 +21,7 @@
 """Seconds between rounds of polls."""
 
 POLLS_PER_ROUND = 10
-"""Load reports requested per round, whatever the size of the fleet; answers carry load as well."""
+"""Load reports requested per round, whatever the size of the fleet; responses have it as well."""
 
 END_CHECK_ATTEMPTS = 2
 """Unanswered requests after which a process counts as ended; one packet may get lost."""
@@ -117,8 +117,8 @@
             return wanted
         return max(sorted(versions), key=lambda v: versions[v])
 
-    def learn_identity(self, replica: replicas.Replica, identity: engines.Identity) -> None:
-        """Update a replica's identity and load from an answer's headers."""
+    def update_identity(self, replica: replicas.Replica, identity: engines.Identity) -> None:
+        """Update a replica's identity and load from a response's headers."""
         if not identity.incarnation:
             return
         self._note_incarnation(replica, identity.incarnation, identity.weight_version, 0)
@@ -175,8 +175,10 @@
         """Poll the platform's list of VMs."""
         while self._vm_list:
             try:
-                answer = await self._client.fetch('GET', f'http://{self._vm_list}/vms', timeout=1.0)
-                self._apply_vms(msgspec.json.decode(answer.body, type=VmList).vms)
+                response = await self._client.fetch(
+                    'GET', f'http://{self._vm_list}/vms', timeout=1.0
+                )
+                self._apply_vms(msgspec.json.decode(response.body, type=VmList).vms)
             except (web.ExchangeError, msgspec.MsgspecError) as error:
                 log.debug('VM list unavailable', extra={'error': str(error)})
             await asyncio.sleep(POLL_INTERVAL)
--- a/passpier/tests/daemon/cuts_tests.py
+++ b/passpier/tests/daemon/cuts_tests.py
@@ -48,7 +48,7 @@
         """Groups that reach the store."""
 
         self.loss = 0.0
-        """Fraction of the store's answers that are lost, before or after the call took effect."""
+        """Fraction of the store's responses that are lost, before or after the call took effect."""
 
         self.values = store.MemoryStore()
         self.leases: dict[int, float] = {}
@@ -318,7 +318,7 @@
 
 
 def test_a_dropped_daemon_uses_no_units_when_it_reaches_the_store_again() -> None:
-    """Guards against treating the first answer of the store as a confirmation of the old units."""
+    """Guards against treating the store's first response as a confirmation of the old units."""
     assert virtual.run(simulate(76)) == (LIMIT, LIMIT)
 
 
--- a/passpier/tests/daemon/fleet_tests.py
+++ b/passpier/tests/daemon/fleet_tests.py
@@ -58,7 +58,7 @@
         raise TimeoutError('no daemon answers')
 
     def ask(self, entry: str, prompt: str) -> None:
-        """Send one request and record its answer or failure."""
+        """Send one request and record its response or failure."""
         try:
             self.answers.append((prompt, fleets.complete(entry, prompt, self.tokens)))
         except OSError as error:
@@ -128,7 +128,7 @@
     processes.wait_until(lambda: daemon.list_events('drain begins'), 'drain begins')
     processes.wait_until(lambda: fleet.complete(2, 'closing?').status != 200, 'closing', 10)
     for _ in range(400):
-        # It must go on answering, as one answer is not completely sent.
+        # It must go on answering, as one response is not completely sent.
         assert processes.call('GET', f'http://{daemon.entry}/healthz')[0] == 200
     assert len(json.loads(response.read())['padding']) == 12_000_000
     connection.close()
@@ -233,7 +233,7 @@
 
 
 def test_new_weights_are_ordered_by_one_daemon_and_served(fleet: fleets.Fleet) -> None:
-    """Replicas load one at a time, so the pool keeps serving; the answer of one order is lost."""
+    """Replicas load one at a time, so the pool keeps serving; the response of one order is lost."""
     fleet.engines[0].set_faults(lose_answer=1)
     schema = fleet.build_schema()
     schema['models'][0]['weight_version'] = 'v2'
--- a/passpier/tests/daemon/main_tests.py
+++ b/passpier/tests/daemon/main_tests.py
@@ -1,7 +1,7 @@
-"""Drains of a daemon: requests that can finish do, all others get an answer with a true outcome.
+"""Drains of a daemon: requests that can finish do, all others get a response with a true outcome.
 
 These tests guard against three failures: a second request to stop (an operator's drain and the
-platform's signal) closed all connections without an answer, so did the bound of the drain, and
+platform's signal) closed all connections without a response, so did the bound of the drain, and
 requests were accepted that could not finish before it.
 """
 
@@ -25,10 +25,10 @@
 """Milliseconds per token, so that answers of some hundred tokens outlast a drain."""
 
 SHORT_TOKENS = 40
-"""Tokens of an answer that finishes within a drain."""
+"""Tokens of a response that finishes within a drain."""
 
 LONG_TOKENS = 1000
-"""Tokens of an answer that does not finish within a drain."""
+"""Tokens of a response that does not finish within a drain."""
 
 PROMPT_BYTES = 1_600_000
 """Bytes of a prompt that an engine takes ten seconds for, so that other requests queue."""
@@ -50,7 +50,7 @@
 
 
 class BackgroundRequest:
-    """A request sent by a thread, with its answer or failure."""
+    """A request sent by a thread, with its response or failure."""
 
     def __init__(self, send: Callable[[], fleets.Answer]) -> None:
         self._send = send
@@ -66,7 +66,7 @@
             self._failure = error
 
     def wait(self) -> fleets.Answer:
-        """Return the answer; fails the test if the connection was closed without one."""
+        """Return the response; fails the test if the connection was closed without one."""
         self._thread.join(60)
         assert self._failure is None, f'no answer: {self._failure!r}'
         assert self._answer is not None, 'still waiting'
--- a/passpier/tests/daemon/once_tests.py
+++ b/passpier/tests/daemon/once_tests.py
@@ -28,8 +28,8 @@
 
 
 def make_call(key: str, id: str) -> calls.Call:
-    life = attempts.Life(False, resumable=False)
-    call = calls.Call(id, ACCOUNT, SERVICE, '/ack', 'cost', 0.0, life)
+    progress = attempts.Life(False, resumable=False)
+    call = calls.Call(id, ACCOUNT, SERVICE, '/ack', 'cost', 0.0, progress)
     call.key = key
     return call
 
@@ -42,7 +42,7 @@
         self.runs: collections.Counter[str] = collections.Counter()
 
     async def execute(self, call: calls.Call) -> answers.Answer:
-        """Run the call, refuse it, or lose its answer."""
+        """Run the call, refuse it, or lose its response."""
         roll = self.rng.random()
         await asyncio.sleep(self.rng.uniform(0.0, 0.05))
         if roll < 0.2:
@@ -183,7 +183,7 @@
 
 
 class RunsUnclaimedKeys(once.IdempotentRunner):
-    """Broken variant: runs an opaque key whose claim got no answer."""
+    """Broken variant: runs an opaque key whose claim got no response."""
 
     async def _claim(self, name: str) -> str:
         try:
--- a/passpier/tests/daemon/path_tests.py
+++ b/passpier/tests/daemon/path_tests.py
@@ -15,7 +15,7 @@
 
 
 def compute_text(prompt: str, tokens: int) -> str:
-    """Return the answer of the stand-in engine, which is a function of the preceding text."""
+    """Return the response of the stand-in engine, which is a function of the preceding text."""
     state = xxhash.xxh64(prompt.encode())
     pieces = []
     for _ in range(tokens):
--- a/passpier/tests/daemon/storage_tests.py
+++ b/passpier/tests/daemon/storage_tests.py
@@ -1,4 +1,4 @@
-"""Concurrent writes of the configuration, lost answers of the store, and the placement lease."""
+"""Concurrent writes of the configuration, lost responses of the store, and the placement lease."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RewritingStorage(storage.Storage):
-    """Broken variant: treats a lost answer as a failed write and writes again."""
+    """Broken variant: treats a lost response as a failed write and writes again."""
 
     async def accept_revision(
         self, document: bytes, base: int, nonce: str
