--- a/passpier/daemon/callers.py
+++ b/passpier/daemon/callers.py
@@ -139,7 +139,7 @@
             self.set_header('Retry-After', f'{max(1, round(failure.retry_after))}')
         self.write(body)
 
-    def write_answer(self, response: answers.Answer) -> None:
+    def write_response(self, response: answers.Answer) -> None:
         """Send a complete response."""
         self.set_status(response.status)
         self.set_header('Content-Type', response.content_type)
@@ -190,7 +190,7 @@
         if call.body.get('stream') and response.status == 200:
             await self._replay(call, response)
         else:
-            self.write_answer(response)
+            self.write_response(response)
 
     async def _stream(self, call: calls.Call) -> None:
         async with contextlib.aclosing(self.app.stream(call)) as pieces:
@@ -199,7 +199,7 @@
                     self._start_stream()
                 self._write_piece(call, piece)
                 await self.flush()
-        self.app.count_answer(call)
+        self.app.count_response(call)
 
     async def _replay(self, call: calls.Call, response: answers.Answer) -> None:
         """Send a stored response, which may not be computed again, as a stream."""
@@ -241,7 +241,7 @@
         target = urllib.parse.quote(path, safe=UNQUOTED_IN_PATHS)
         if self.request.query:
             target += '?' + self.request.query
-        self.write_answer(await self.app.run(self.build_call(target, name)))
+        self.write_response(await self.app.run(self.build_call(target, name)))
 
 
 class ModelsHandler(CallerHandler):
--- a/passpier/daemon/generation.py
+++ b/passpier/daemon/generation.py
@@ -124,7 +124,7 @@
         """The engine process that received the current attempt."""
 
         self._is_registered = False
-        """Whether the current attempt is registered with `Suspects` as running."""
+        """Whether the current attempt is registered with `SuspectRequests` as running."""
 
     async def run(self) -> AsyncGenerator[Piece, None]:
         """Yield pieces until the response is complete."""
@@ -358,10 +358,10 @@
             raise _AttemptError(attempts.Fault.FAILED, 'the count of the answer is wrong')
         call.life.completed = True
         self._owner.suspects.note_well(self._fingerprint)
-        self._log_answer(usage, cached)
+        self._log_response(usage, cached)
         return Piece(chunk.text, chunk.finish_reason, usage)
 
-    def _log_answer(self, usage: engines.Usage, cached: int) -> None:
+    def _log_response(self, usage: engines.Usage, cached: int) -> None:
         assert self._placement is not None
         log.info(
             'answered',
--- a/passpier/daemon/main.py
+++ b/passpier/daemon/main.py
@@ -47,7 +47,7 @@
 STOP_CHECK = 0.05
 """Seconds between checks whether the drain is complete."""
 
-FINAL_ANSWER_TIMEOUT = 1.0
+FINAL_RESPONSE_TIMEOUT = 1.0
 """Seconds after the bound of a drain for sending the final responses of cancelled requests."""
 
 BODY_MARGIN = 64 * 1024
@@ -165,8 +165,8 @@
             'stopped with requests running',
             extra={'cut': self.service.in_flight, 'hurried': self.fleet.drain.forced},
         )
-        end = clocks.now() + FINAL_ANSWER_TIMEOUT
-        await self.service.cancel_all(FINAL_ANSWER_TIMEOUT / 2)
+        end = clocks.now() + FINAL_RESPONSE_TIMEOUT
+        await self.service.cancel_all(FINAL_RESPONSE_TIMEOUT / 2)
         while self.service.in_flight and clocks.now() < end:
             await asyncio.sleep(STOP_CHECK)
         if self.service.in_flight:
@@ -184,7 +184,7 @@
         # Closes idle connections at once, so that callers do not send requests that get lost.
         for server in servers:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(server.close_all_connections(), FINAL_ANSWER_TIMEOUT)
+                await asyncio.wait_for(server.close_all_connections(), FINAL_RESPONSE_TIMEOUT)
         self.peers.close()
         self.client.close()
         log.info('stopped')
--- a/passpier/daemon/messages.py
+++ b/passpier/daemon/messages.py
@@ -81,7 +81,7 @@
     """The sender's load at replicas: name, short process id, tokens by priority, requests.
 
     The tokens are those left to compute, the requests those that run or wait. For replicas that are
-    not listed nothing has changed, or, if `whole` is set, the sender has no load there.
+    not listed nothing has changed, or, if `is_full` is set, the sender has no load there.
     """
 
     loads: list[tuple[str, int, tuple[int, ...], int]]
@@ -92,8 +92,8 @@
     """The sender's use of rate limits since its start: account, units spent, units left.
 
     `number` numbers the sender's messages to the receiver, `confirmed` is the number of the last
-    message received in the other direction. `knows` is set if the units left are reliable. For
-    accounts that are not listed nothing has changed since the last confirmed message.
+    message received in the other direction. `is_reliable` is set if the units left are reliable.
+    For accounts that are not listed nothing has changed since the last confirmed message.
     """
 
     number: int
@@ -110,7 +110,7 @@
 
 
 class Lent(Message, tag='le'):
-    """Answers `Borrow`; `retry_after` is in seconds."""
+    """The response to `BorrowRequest`; `retry_after` is in seconds."""
 
     loan: str
     granted: bool
@@ -156,7 +156,7 @@
 
 
 class Forwarded(Message, tag='fd'):
-    """The response to `Forward`; `failure` is empty or a JSON-encoded failure."""
+    """The response to `ForwardRequest`; `failure` is empty or a JSON-encoded failure."""
 
     id: str
     status: int
@@ -201,7 +201,7 @@
     """Proof of freshness: no change older than `age` seconds has a revision above `revision`.
 
     `sent_at` and `since`, a revision, are those of the request. `items` are all changes after
-    `since` up to `known_revision`, or all items if `whole` is set. `awaited` lists the replicas
+    `since` up to `known_revision`, or all items if `is_full` is set. `awaited` lists the replicas
     whose entries have disappeared but may come back, with the seconds for which the sender waits.
     """
 
--- a/passpier/daemon/once.py
+++ b/passpier/daemon/once.py
@@ -235,7 +235,7 @@
         raise exceptions.StoreError('the claim was not settled')
 
     async def release(self, name: str) -> None:
-        """Delete a claim of this incarnation; failures of the store are ignored."""
+        """Delete a claim of this incarnation; it does no harm if the store fails to."""
         key = _get_claim_key(name)
         try:
             value = await self._store.get(key)
--- a/passpier/daemon/resuming.py
+++ b/passpier/daemon/resuming.py
@@ -1,4 +1,4 @@
-"""Detects detector of the VM, for state that has to be refreshed immediately afterwards."""
+"""Detects suspensions of the VM, for state that has to be refreshed immediately afterwards."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL = 0.1
-"""Seconds between checks. Expiry does not depend on them, as the clock counts detector."""
+"""Seconds between checks. Expiry does not depend on them, as the clock counts suspensions."""
 
 
 async def watch(counters: metrics.Metrics, resume: Callable[[], None]) -> None:
     """Call `resume` after each suspension, until cancelled.
 
-    All ages and deadlines use a clock that counts the time of detector, so that state and leases
+    All ages and deadlines use a clock that counts the time of suspensions, so that state and leases
     have expired as they have for other daemons. Nothing has to be invalidated here.
     """
     detector = clocks.Suspensions()
--- a/passpier/daemon/service.py
+++ b/passpier/daemon/service.py
@@ -120,7 +120,7 @@
         else:
             self.check_can_finish(call)
             response = await self._execute(call)
-        self.count_answer(call)
+        self.count_response(call)
         return response
 
     async def stream(self, call: calls.Call) -> AsyncGenerator[generation.Piece, None]:
@@ -165,7 +165,7 @@
         others = tuple(e.address for e in self.rank_entries(id) if e.address != own)
         return msgspec.structs.replace(failure, entries=others)
 
-    def count_answer(self, call: calls.Call) -> None:
+    def count_response(self, call: calls.Call) -> None:
         """Count an answered call."""
         self.counters.requests.inc({'service': call.service.name, 'outcome': 'ran'})
 
--- a/passpier/daemon/storage.py
+++ b/passpier/daemon/storage.py
@@ -114,13 +114,13 @@
     async def register(self, member: members.Member) -> bool:
         """Renew the lease, or get a new one and write the member record; true if renewed."""
         if self.lease and await self.store.keep_alive(self.lease):
-            self._note_answer()
+            self._note_response()
             return True
         lease = await self.store.grant(self._lease_ttl)
         key = MEMBER_PREFIX + member.incarnation
         await self.store.write([store_clients.Put(key, msgspec.json.encode(member), lease)])
         self.lease = lease
-        self._note_answer()
+        self._note_response()
         log.info('registered', extra={'incarnation': member.incarnation})
         return False
 
@@ -200,7 +200,7 @@
             bound = min(RETRY_MAX, RETRY_MIN * 2**failures)
             await asyncio.sleep(bound * self._rng.uniform(0.5, 1.0))
 
-    def _note_answer(self) -> None:
+    def _note_response(self) -> None:
         self.renewed_at = clocks.now()
         self.available = True
 
--- a/passpier/tests/daemon/cuts_tests.py
+++ b/passpier/tests/daemon/cuts_tests.py
@@ -44,8 +44,8 @@
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
         self.groups: dict[str, int] = {}
-        self.reaching: set[int] = {0}
-        """Groups that reach the store."""
+        self.groups_with_store: set[int] = {0}
+        """Groups of daemons that can reach the store."""
 
         self.loss = 0.0
         """Fraction of the store's responses that are lost, before or after the call took effect."""
@@ -64,8 +64,8 @@
     async def expire(self) -> None:
         """Delete the keys of expired leases."""
         now = clocks.now()
-        lapsed = {key for key, lease in self.owners.items() if self.leases.get(lease, 0.0) < now}
-        for key in lapsed:
+        expired = {key for key, lease in self.owners.items() if self.leases.get(lease, 0.0) < now}
+        for key in expired:
             del self.owners[key]
             await self.values.write([store.Delete(key)])
 
@@ -117,7 +117,7 @@
 
     async def _simulate_call(self) -> None:
         await asyncio.sleep(self._platform.rng.uniform(0.001, 0.05))
-        if self._platform.get_group(self._address) not in self._platform.reaching:
+        if self._platform.get_group(self._address) not in self._platform.groups_with_store:
             raise exceptions.StoreError('no answer')
         self._lose()
         await self._platform.expire()
@@ -241,11 +241,11 @@
             self.max_running = max(self.max_running, running)
             assert running <= LIMIT, f'{running} of {LIMIT} at {clocks.now():.1f} s'
 
-    def partition(self, groups: Sequence[int], reaching: set[int]) -> None:
+    def partition(self, groups: Sequence[int], groups_with_store: set[int]) -> None:
         """Partition the daemons into groups, of which some reach the store."""
         addresses = [d.address for d in self.daemons]
         self.platform.groups = dict(zip(addresses, groups, strict=True))
-        self.platform.reaching = reaching
+        self.platform.groups_with_store = groups_with_store
 
     def heal(self) -> None:
         self.partition([0] * len(self.daemons), {0})
--- a/passpier/tests/daemon/fleet_tests.py
+++ b/passpier/tests/daemon/fleet_tests.py
@@ -250,8 +250,8 @@
     assert all(a.whole for _, a in load.answers), [a.body for _, a in load.answers if not a.whole]
     orders = [e.get_counters()['orders'] for e in fleet.engines]
     assert all(1 <= len(o) <= 2 for o in orders)
-    placing = [d for d in fleet.daemons if d.list_events('placement decision')]
-    assert len(placing) == 1
+    placing_daemons = [d for d in fleet.daemons if d.list_events('placement decision')]
+    assert len(placing_daemons) == 1
     schema['models'][0]['weight_version'] = 'v1'
     fleet.apply(schema, get_revision(fleet))
     processes.wait_until(
--- a/passpier/tests/daemon/loads_tests.py
+++ b/passpier/tests/daemon/loads_tests.py
@@ -47,7 +47,7 @@
 Check = Callable[[Daemon, Daemon, network.Network], Awaitable[None]]
 
 
-def play(check: Check) -> None:
+def run_check(check: Check) -> None:
     async def run() -> None:
         net = network.Network(random.Random(1))
         fleet = [
@@ -86,7 +86,7 @@
         assert all(m.whole for m in sender.sent)
         assert receiver.upstreams.replicas['r1'].peers['i0'].running == 1
 
-    play(check)
+    run_check(check)
 
 
 def test_the_end_of_a_load_is_sent_and_keeps_others() -> None:
@@ -99,7 +99,7 @@
         assert 'i0' not in receiver.upstreams.replicas['r1'].peers
         assert receiver.upstreams.replicas['r2'].peers['i0'].running == 1
 
-    play(check)
+    run_check(check)
 
 
 def test_a_small_change_waits_for_the_next_full_message() -> None:
@@ -114,7 +114,7 @@
         await asyncio.sleep(loads.FULL_INTERVAL)
         assert receiver.upstreams.replicas['r1'].peers['i0'].running == 2
 
-    play(check)
+    run_check(check)
 
 
 def test_a_full_message_repairs_a_lost_one() -> None:
@@ -127,4 +127,4 @@
         await asyncio.sleep(loads.FULL_INTERVAL + 0.1)
         assert receiver.upstreams.replicas['r1'].peers['i0'].running == 1
 
-    play(check)
+    run_check(check)
--- a/passpier/tests/daemon/once_tests.py
+++ b/passpier/tests/daemon/once_tests.py
@@ -130,7 +130,7 @@
             assert not ran_before, 'said "not run" of a key that had run'
 
 
-async def play(fleet: Fleet, steps: list[tuple[Any, ...]]) -> None:
+async def run_steps(fleet: Fleet, steps: list[tuple[Any, ...]]) -> None:
     results: Results = collections.defaultdict(list)
     tasks = []
     keys = [f'order-{n}' for n in range(3)]
@@ -165,7 +165,7 @@
 @hypothesis.given(STEPS, st.integers(0, 1000))
 def test_each_key_runs_at_most_once(steps: list[tuple[Any, ...]], seed: int) -> None:
     async def run() -> None:
-        await play(Fleet(seed), steps)
+        await run_steps(Fleet(seed), steps)
 
     virtual.run(run())
 
@@ -204,7 +204,7 @@
             steps = [(rng.choice(kinds), rng.randrange(3), rng.randrange(6)) for _ in range(25)]
 
             async def run(seed: int = seed, steps: list[tuple[Any, ...]] = steps) -> None:
-                await play(BrokenFleet(seed), steps)
+                await run_steps(BrokenFleet(seed), steps)
 
             virtual.run(run())
 
