--- a/passpier/tests/daemon/once_tests.py
+++ b/passpier/tests/daemon/once_tests.py
@@ -19,7 +19,7 @@
 from passpier.clients import store
 from passpier.config import declarations
 from passpier.core import attempts, claims, members
-from passpier.daemon import answers, calls, intake, messages, once, peers
+from passpier.daemon import answers, call_builder, calls, messages, once, peers
 from passpier.standins import network, virtual
 from passpier.tests import fakes
 
@@ -28,8 +28,8 @@
 
 
 def make_call(key: str, id: str) -> calls.Call:
-    life = attempts.Life(False, resumable=False)
-    call = calls.Call(id, ACCOUNT, SERVICE, '/ack', 'cost', 0.0, life)
+    progress = attempts.Life(False, resumable=False)
+    call = calls.Call(id, ACCOUNT, SERVICE, '/ack', 'cost', 0.0, progress)
     call.key = key
     return call
 
@@ -42,7 +42,7 @@
         self.runs: collections.Counter[str] = collections.Counter()
 
     async def execute(self, call: calls.Call) -> answers.Answer:
-        """Run the call, refuse it, or lose its answer."""
+        """Run the call, refuse it, or lose its response."""
         roll = self.rng.random()
         await asyncio.sleep(self.rng.uniform(0.0, 0.05))
         if roll < 0.2:
@@ -60,7 +60,7 @@
 class Fleet:
     """Daemons with a faulty store and a faulty network."""
 
-    once_type: type[once.Once] = once.Once
+    once_type: type[once.IdempotentRunner] = once.IdempotentRunner
 
     def __init__(self, seed: int, size: int = 3) -> None:
         self.rng = random.Random(seed)
@@ -73,7 +73,7 @@
         ]
         self.daemons = [self.make_daemon(m) for m in self.members]
 
-    def make_daemon(self, member: members.Member) -> once.Once:
+    def make_daemon(self, member: members.Member) -> once.IdempotentRunner:
         membership = members.Membership(member, 1.0, 0.0)
         for other in self.members:
             membership.add(other, 0.0)
@@ -103,7 +103,7 @@
 
 
 async def answer_forward(
-    daemon: once.Once, link: network.Link, address: str, message: messages.Forward
+    daemon: once.IdempotentRunner, link: network.Link, address: str, message: messages.Forward
 ) -> None:
     try:
         answer = await daemon.run(make_call(message.key, message.id))
@@ -130,7 +130,7 @@
             assert not ran_before, 'said "not run" of a key that had run'
 
 
-async def play(fleet: Fleet, steps: list[tuple[Any, ...]]) -> None:
+async def run_steps(fleet: Fleet, steps: list[tuple[Any, ...]]) -> None:
     results: Results = collections.defaultdict(list)
     tasks = []
     keys = [f'order-{n}' for n in range(3)]
@@ -165,12 +165,12 @@
 @hypothesis.given(STEPS, st.integers(0, 1000))
 def test_each_key_runs_at_most_once(steps: list[tuple[Any, ...]], seed: int) -> None:
     async def run() -> None:
-        await play(Fleet(seed), steps)
+        await run_steps(Fleet(seed), steps)
 
     virtual.run(run())
 
 
-class RunsKeysOfOthers(once.Once):
+class RunsKeysOfOthers(once.IdempotentRunner):
     """Broken variant: runs a key here when its home daemon does not answer."""
 
     async def _forward(self, call: calls.Call, incarnation: str) -> answers.Answer:
@@ -182,8 +182,8 @@
             raise
 
 
-class RunsUnclaimedKeys(once.Once):
-    """Broken variant: runs an opaque key whose claim got no answer."""
+class RunsUnclaimedKeys(once.IdempotentRunner):
+    """Broken variant: runs an opaque key whose claim got no response."""
 
     async def _claim(self, name: str) -> str:
         try:
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize('kind', [RunsKeysOfOthers, RunsUnclaimedKeys])
-def test_broken_variants_are_caught(kind: type[once.Once]) -> None:
+def test_broken_variants_are_caught(kind: type[once.IdempotentRunner]) -> None:
     class BrokenFleet(Fleet):
         once_type = kind
 
@@ -204,7 +204,7 @@
             steps = [(rng.choice(kinds), rng.randrange(3), rng.randrange(6)) for _ in range(25)]
 
             async def run(seed: int = seed, steps: list[tuple[Any, ...]] = steps) -> None:
-                await play(BrokenFleet(seed), steps)
+                await run_steps(BrokenFleet(seed), steps)
 
             virtual.run(run())
 
@@ -273,7 +273,7 @@
 
 def test_a_key_is_required_and_bounded() -> None:
     for key in ('', 'x' * 257):
-        missing = intake._check_key(False, key)
+        missing = call_builder._check_key(False, key)
         assert missing is not None
         assert missing.outcome is exceptions.Outcome.NOT_RUN
 
