--- a/passpier/core/members.py
+++ b/passpier/core/members.py
@@ -31,7 +31,7 @@
 """Members up to which load and cache updates are sent to all, whether they take requests or not."""
 
 ACTIVE_RATE_SHARE = 0.1
-"""Share of the highest request rate from which on a daemon counts as active."""
+"""Share of the highest request rate from which on a daemon counts as active (serving requests)."""
 
 ACTIVE_RATE_MIN = 0.1
 """Requests per second below which a daemon never counts as active."""
@@ -247,7 +247,7 @@
         return record.advanced_at >= now - timeout
 
     def make_digest(self, rng: random.Random, now: float) -> list[Beat]:
-        """Return the own beat, the most recently advanced others and a random sample of the rest.
+        """Return up to `DIGEST_LIMIT` beats: the own, the most recent others and a random sample.
 
         Silent members are left out, because a receiver takes a member that is new to it for alive.
         """
--- a/passpier/core/replicas.py
+++ b/passpier/core/replicas.py
@@ -26,7 +26,7 @@
 LEAST_URGENT = 3
 """The highest priority number, which is the least urgent."""
 
-MIN_PENDING_SHARE = 0.85
+UNANSWERED_SHARE = 0.85
 """Minimum share of its prefill tokens that a request counts for until its first token arrives.
 
 Whatever delays it beyond the estimate (work sent by others, memory, slots) delays the next request
@@ -164,7 +164,7 @@
     for dispatch in replica.dispatches.values():
         if not dispatch.first_token and dispatch.started_at > after:
             left = dispatch.tokens - _count_computed(replica, dispatch, now)
-            pending[dispatch.priority] += int(max(left, dispatch.tokens * MIN_PENDING_SHARE))
+            pending[dispatch.priority] += int(max(left, dispatch.tokens * UNANSWERED_SHARE))
     return tuple(pending)
 
 
@@ -271,7 +271,7 @@
     if not total:
         return 0.0
     computed = weighted_age / total / replica.seconds_per_token
-    return max(total * MIN_PENDING_SHARE, total - computed * total / (total + own))
+    return max(total * UNANSWERED_SHARE, total - computed * total / (total + own))
 
 
 def _list_peers(replica: Replica, now: float) -> list[PeerLoad]:
--- a/passpier/tests/core/choice_tests.py
+++ b/passpier/tests/core/choice_tests.py
@@ -189,7 +189,7 @@
     rate = replica.seconds_per_token
     replicas.begin_dispatch(replica, 'a', 1000, 10.0)
     replica.peers['b'] = replicas.PeerLoad((0, 1000, 0, 0), 1, 10.0)
-    least = 2000 * replicas.MIN_PENDING_SHARE
+    least = 2000 * replicas.UNANSWERED_SHARE
     assert replicas.estimate_backlog(replica, 10.0 + 9000 * rate) >= least - 1
     replicas.note_first_token(replica, 'a', 10.5)
     assert replicas.estimate_backlog(replica, 10.5) < least
