--- a/passpier/daemon/epochs.py
+++ b/passpier/daemon/epochs.py
@@ -160,7 +160,7 @@
         now = clocks.now()
         known = {i for i in unlisted if not self._limits.has_departed(i)}
         expired = {i for i in known if self._is_fenced(i, now)}
-        self._limits.note_peers()
+        self._limits.record_contacts()
         retained = {i for i in expired if not self._limits.may_drop(i)}
         if retained - self._retained:
             contact = self._limits.book.describe_contact(now)
--- a/passpier/daemon/limits.py
+++ b/passpier/daemon/limits.py
@@ -113,7 +113,7 @@
 
     def tick(self) -> None:
         """Settle the newest generation if possible; tell lenders which loans are still in use."""
-        self.note_peers()
+        self.record_contacts()
         self.settle()
         for lender in list(self._lenders):
             loans = [loan for loan, address in self._borrowed.items() if address == lender]
@@ -132,7 +132,7 @@
             extra={'epoch': generation.epoch, 'revision': generation.revision},
         )
 
-    def note_peers(self) -> None:
+    def record_contacts(self) -> None:
         """Record when each holder was last heard; log when this daemon becomes isolated or not."""
         now = clocks.now()
         self.book.note_contact(now)
--- a/passpier/daemon/placement.py
+++ b/passpier/daemon/placement.py
@@ -42,7 +42,7 @@
             return
         if not self._has_work(config) and self._order_book is None:
             return
-        fence = await self._fleet.storage.take_placement(self._fleet.membership.own.incarnation)
+        fence = await self._fleet.storage.acquire_placement(self._fleet.membership.own.incarnation)
         if not fence:
             self._order_book = None
             return
--- a/passpier/daemon/storage.py
+++ b/passpier/daemon/storage.py
@@ -146,7 +146,7 @@
         put = store_clients.Put(EPOCH_KEY, msgspec.json.encode(record))
         return await self.store.write([put], [store_clients.IsAt(EPOCH_KEY, at)])
 
-    async def take_placement(self, incarnation: str) -> int:
+    async def acquire_placement(self, incarnation: str) -> int:
         """Return the fencing number if this daemon holds the placement lease, else 0."""
         value = await self.store.get(PLACEMENT_KEY)
         if value is not None:
--- a/passpier/tests/daemon/once_tests.py
+++ b/passpier/tests/daemon/once_tests.py
@@ -87,10 +87,10 @@
             lambda call: True,
         )
 
-        async def take_forward(sender: str, address: str, message: messages.Forward) -> None:
+        async def handle_forward(sender: str, address: str, message: messages.Forward) -> None:
             await answer_forward(daemon, link, address, message)
 
-        link.handle(messages.Forward, take_forward)
+        link.handle(messages.Forward, handle_forward)
         return daemon
 
     def restart(self, number: int) -> None:
--- a/passpier/tests/daemon/storage_tests.py
+++ b/passpier/tests/daemon/storage_tests.py
@@ -169,7 +169,7 @@
     async def run() -> None:
         shared = store.MemoryStore()
         both = [storage.Storage(shared, 10, random.Random(n)) for n in range(2)]
-        fences = [await s.take_placement(f'i{n}') for n, s in enumerate(both)]
+        fences = [await s.acquire_placement(f'i{n}') for n, s in enumerate(both)]
         assert fences[0] > 0
         assert fences[1] == 0
 
