--- a/passpier/tests/clients/exchanges_tests.py
+++ b/passpier/tests/clients/exchanges_tests.py
@@ -1,4 +1,4 @@
-"""Exchanges against a server that plays scripted bytes."""
+"""Exchanges with a server that sends scripted bytes."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from passpier.clients import connections, exchanges
 
 ID = 'Request-Id'
-Play = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def answer(id: str, body: bytes = b'ok', extra: str = '') -> bytes:
+def render_response(id: str, body: bytes = b'ok', extra: str = '') -> bytes:
     head = f'HTTP/1.1 200 OK\r\n{ID}: {id}\r\nContent-Length: {len(body)}\r\n{extra}\r\n'
     return head.encode() + body
 
@@ -30,17 +30,17 @@
 
 
 class Server:
-    """Counts connections and requests; `play` answers one connection."""
+    """A server that counts connections; `handler` serves each of them."""
 
-    def __init__(self, play: Play) -> None:
-        self.play = play
+    def __init__(self, handler: Handler) -> None:
+        self.handler = handler
         self.connections = 0
         self.address = ''
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         try:
-            await self.play(reader, writer)
+            await self.handler(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
             return
         finally:
@@ -48,8 +48,8 @@
 
 
 @asynccontextmanager
-async def serving(play: Play) -> AsyncIterator[Server]:
-    server = Server(play)
+async def serving(handler: Handler) -> AsyncIterator[Server]:
+    server = Server(handler)
     listening = await asyncio.start_server(server.serve, '127.0.0.1', 0)
     server.address = f'127.0.0.1:{listening.sockets[0].getsockname()[1]}'
     try:
@@ -81,14 +81,14 @@
     return (await pool.fetch(server.address, make_request(id, **more), 2.0)).body
 
 
-def test_connections_are_kept_and_used_again() -> None:
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_connections_are_reused() -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             id = await read_request(reader)
-            writer.write(answer(id, id.encode()))
+            writer.write(render_response(id, id.encode()))
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             pool = connections.Pool()
             for id in ('a', 'b', 'c'):
                 assert await fetch(pool, server, id, body=b'x' * 5000) == id.encode()
@@ -98,26 +98,26 @@
     run(check())
 
 
-def test_an_answer_to_another_request_is_dropped_and_ours_follows() -> None:
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_response_to_another_request_is_skipped() -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         id = await read_request(reader)
-        writer.write(answer('stranger', b'not yours') + answer(id, b'mine'))
+        writer.write(render_response('stranger', b'not yours') + render_response(id, b'mine'))
         await reader.read()
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             assert await fetch(connections.Pool(), server) == b'mine'
 
     run(check())
 
 
-def test_only_a_strangers_answer_is_no_answer() -> None:
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_response_to_another_request_alone_is_an_error() -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
-        writer.write(answer('stranger'))
+        writer.write(render_response('stranger'))
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             with pytest.raises(exchanges.ExchangeError) as caught:
                 await fetch(connections.Pool(), server)
             assert caught.value.sent
@@ -125,14 +125,14 @@
     run(check())
 
 
-def test_bytes_behind_an_answer_end_the_connection() -> None:
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_bytes_after_a_response_close_the_connection() -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             id = await read_request(reader)
-            writer.write(answer(id, b'mine') + b'HTTP/1.1 200 OK\r\n')
+            writer.write(render_response(id, b'mine') + b'HTTP/1.1 200 OK\r\n')
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             pool = connections.Pool()
             assert await fetch(pool, server, 'a') == b'mine'
             assert await fetch(pool, server, 'b') == b'mine'
@@ -141,22 +141,22 @@
     run(check())
 
 
-def test_bytes_on_a_resting_connection_end_it() -> None:
-    late = asyncio.Event()
+def test_bytes_on_an_idle_connection_close_it() -> None:
+    send_stray_bytes = asyncio.Event()
 
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             id = await read_request(reader)
-            writer.write(answer(id, b'mine'))
+            writer.write(render_response(id, b'mine'))
             if id == 'a':
-                await late.wait()
-                writer.write(answer('b', b'forged'))
+                await send_stray_bytes.wait()
+                writer.write(render_response('b', b'forged'))
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             pool = connections.Pool()
             assert await fetch(pool, server, 'a') == b'mine'
-            late.set()
+            send_stray_bytes.set()
             await asyncio.sleep(0.05)
             assert await fetch(pool, server, 'b') == b'mine'
             assert server.connections == 2
@@ -165,8 +165,8 @@
 
 
 @pytest.mark.parametrize('orderly', [True, False])
-def test_without_length_only_an_orderly_end_is_whole(orderly: bool) -> None:
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_response_without_length_is_complete_only_after_an_orderly_close(orderly: bool) -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         id = await read_request(reader)
         writer.write(f'HTTP/1.1 200 OK\r\n{ID}: {id}\r\n\r\nall of it'.encode())
         await writer.drain()
@@ -175,7 +175,7 @@
             reset(writer)
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             if orderly:
                 assert await fetch(connections.Pool(), server) == b'all of it'
                 return
@@ -197,13 +197,13 @@
         b'',
     ],
 )
-def test_broken_answers_are_errors_that_may_have_run(data: bytes) -> None:
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_invalid_response_is_an_error_after_sending(data: bytes) -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(data)
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             with pytest.raises(exchanges.ExchangeError) as caught:
                 await fetch(connections.Pool(), server)
             assert caught.value.sent
@@ -211,11 +211,11 @@
     run(check())
 
 
-def test_a_closed_port_says_that_nothing_was_sent() -> None:
+def test_refused_connection_reports_that_nothing_was_sent() -> None:
     async def check() -> None:
-        with socket.socket() as taken:
-            taken.bind(('127.0.0.1', 0))
-            address = f'127.0.0.1:{taken.getsockname()[1]}'
+        with socket.socket() as bound:
+            bound.bind(('127.0.0.1', 0))
+            address = f'127.0.0.1:{bound.getsockname()[1]}'
             with pytest.raises(exchanges.ExchangeError) as caught:
                 await connections.Pool().open(address, make_request())
         assert not caught.value.sent
@@ -225,14 +225,14 @@
 
 
 @pytest.mark.parametrize('header', ['Keep-Alive: timeout=0', 'Connection: close'])
-def test_what_the_upstream_says_of_the_connection_is_heeded(header: str) -> None:
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_connection_headers_of_the_upstream_are_respected(header: str) -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             id = await read_request(reader)
-            writer.write(answer(id, extra=f'{header}\r\n'))
+            writer.write(render_response(id, extra=f'{header}\r\n'))
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             pool = connections.Pool()
             await fetch(pool, server, 'a')
             await fetch(pool, server, 'b')
@@ -241,16 +241,18 @@
     run(check())
 
 
-def test_a_long_rest_is_not_trusted_with_what_runs_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_long_idle_connection_is_not_used_for_non_idempotent_requests(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(connections, 'ONCE_IDLE_LIMIT', 0.0)
 
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             id = await read_request(reader)
-            writer.write(answer(id))
+            writer.write(render_response(id))
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             pool = connections.Pool()
             await fetch(pool, server, 'a')
             await fetch(pool, server, 'b', once=True)
@@ -261,11 +263,11 @@
     run(check())
 
 
-def test_a_reader_that_is_behind_holds_the_upstream_up() -> None:
+def test_slow_reader_slows_the_upstream_down() -> None:
     total = 64 * exchanges.BUFFERED_MAX
     written = 0
 
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         nonlocal written
         id = await read_request(reader)
         writer.write(f'HTTP/1.1 200 OK\r\n{ID}: {id}\r\nContent-Length: {total}\r\n\r\n'.encode())
@@ -275,51 +277,51 @@
             await writer.drain()
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             exchange = await connections.Pool().open(server.address, make_request())
             await exchange.read_head()
             await asyncio.sleep(0.3)
             assert written < total / 2
-            got = 0
+            received = 0
             while (part := await exchange.read()) is not None:
-                got += len(part)
-            assert got == total
+                received += len(part)
+            assert received == total
 
     run(check())
 
 
-def test_an_exchange_that_is_given_up_closes_its_connection() -> None:
-    gone = asyncio.Event()
+def test_aborted_exchange_closes_its_connection() -> None:
+    closed = asyncio.Event()
 
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         await reader.read()
-        gone.set()
+        closed.set()
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             exchange = await connections.Pool().open(server.address, make_request())
             await asyncio.sleep(0.02)
             exchange.close()
-            await gone.wait()
+            await closed.wait()
 
     run(check())
 
 
-def test_a_request_that_may_no_longer_be_sent_is_withheld_after_the_connection_stands() -> None:
-    arrived = 0
+def test_request_that_may_not_be_sent_after_connecting_is_withheld() -> None:
+    received_requests = 0
 
-    async def play(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal arrived
+    async def handler(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        nonlocal received_requests
         await read_request(reader)
-        arrived += 1
+        received_requests += 1
 
     async def check() -> None:
-        async with serving(play) as server:
+        async with serving(handler) as server:
             request = msgspec.structs.replace(
                 make_request(), may_send=lambda: server.connections == 0
             )
-            # The connection stands, and with it the reason to send is gone.
+            # `may_send` becomes false while the connection is being established.
             pool = connections.Pool()
             server.connections = 1
             with pytest.raises(exchanges.ExchangeError) as caught:
@@ -327,29 +329,29 @@
             assert caught.value.fault is exchanges.Fault.WITHHELD
             assert not caught.value.sent
             await asyncio.sleep(0.05)
-            assert arrived == 0
+            assert received_requests == 0
 
     run(check())
 
 
-async def forget_rested(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer a first request; reset whatever comes after a rest."""
+async def drop_idle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Respond to the first request of a connection, and reset it at the second."""
     await reader.readuntil(b'\r\n\r\n')
-    writer.write(answer('1'))
+    writer.write(render_response('1'))
     await reader.readuntil(b'\r\n\r\n')
     reset(writer)
 
 
-def test_what_upstreams_forget_early_is_not_trusted_with_requests_that_run_once() -> None:
+def test_stale_connection_reduces_the_idle_limit_of_non_idempotent_requests() -> None:
     async def run() -> None:
-        async with serving(forget_rested) as server, serving(forget_rested) as other:
+        async with serving(drop_idle_connection) as server, serving(drop_idle_connection) as other:
             pool = connections.Pool()
             assert (await pool.fetch(server.address, make_request(), 2.0)).body == b'ok'
             assert (await pool.fetch(other.address, make_request(), 2.0)).body == b'ok'
             await asyncio.sleep(0.2)
             with pytest.raises(exchanges.ExchangeError):
                 await pool.fetch(server.address, make_request(), 2.0)
-            # Another upstream, and a rest that a fresh pool would trust.
+            # Another upstream, and an idle time that a new pool would accept.
             assert (await pool.fetch(other.address, make_request(once=True), 2.0)).body == b'ok'
             assert other.connections == 2
             pool.close()
@@ -357,10 +359,10 @@
     asyncio.run(run())
 
 
-def test_a_crash_in_the_middle_of_work_makes_no_rest_suspect() -> None:
+def test_crash_during_a_request_does_not_reduce_the_idle_limit() -> None:
     async def crash(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b'\r\n\r\n')
-        writer.write(answer('1'))
+        writer.write(render_response('1'))
         await reader.readuntil(b'\r\n\r\n')
         await asyncio.sleep(connections.STALE_RESET_WINDOW * 3)
         reset(writer)
--- a/passpier/tests/platform/backoff_tests.py
+++ b/passpier/tests/platform/backoff_tests.py
@@ -1,7 +1,7 @@
-"""Replicas that refuse a request and tell its router to back off.
+"""Replicas that reject a request and tell its router to back off.
 
-Seen: a replica that had answered a router 503 with `Retry-After: 3` got three and four requests
-from it within that time, where two are tolerated. It looked idle, and was the cheapest.
+Guards against routers that ignore `Retry-After`: a replica that rejects requests looks idle, so it
+was the cheapest choice and got three to four more requests within the backoff; two are tolerated.
 """
 
 from __future__ import annotations
@@ -16,102 +16,102 @@
 from passpier.core import backpressure, replicas
 from passpier.routing import pools
 from passpier.standins.platform import deployment, promises
-from passpier.tests.platform import scenes
+from passpier.tests.platform import harness
 
 BACKOFF = 2.0
 
 
 @pytest.mark.parametrize('service', ['llm', 'app'])
-def test_a_replica_that_says_how_long_to_back_off_is_left_alone(service: str) -> None:
-    """BUDGET: each router went on sending what it would have sent anyway."""
+def test_replica_gets_no_requests_during_its_backoff(service: str) -> None:
+    """BUDGET: a router must not send what it would have sent without the backoff."""
 
     async def check(running: deployment.Deployment) -> None:
         refusing = running.replicas[f'{service}-0']
         refusing.faults.backoff = BACKOFF
-        # What it refuses never runs, so that it always looks idle.
-        scenes.set_work(running, 0.2)
+        # Rejected requests never run, so this replica always looks idle.
+        harness.set_processing_time(running, 0.2)
         path = '/stream/x' if service == 'llm' else '/safe/x'
         rng = random.Random(45)
-        asked: dict[str, str] = {}
+        router_of: dict[str, str] = {}
 
         async def ask(number: int) -> deployment.Reply:
             entry = number % len(running.routers)
             id = f'r{number}'
-            asked[id] = running.routers[entry].options.name
+            router_of[id] = running.routers[entry].options.name
             headers = deployment.make_prompt(rng) if service == 'llm' else []
             return await running.ask(path, entry, id=id, headers=headers)
 
         replies: list[asyncio.Future[deployment.Reply]] = []
-        ends_at = clocks.now() + 2 * BACKOFF
-        while clocks.now() < ends_at:
+        deadline = clocks.now() + 2 * BACKOFF
+        while clocks.now() < deadline:
             replies.append(asyncio.ensure_future(ask(len(replies))))
             await asyncio.sleep(0.05)
         statuses = [r.status for r in await asyncio.gather(*replies)]
-        assert promises.find_backoffs_broken(refusing, asked) == []
+        assert promises.find_backoffs_broken(refusing, router_of) == []
         assert set(statuses) <= {200, 503}
         assert statuses.count(200) >= 0.9 * len(statuses)
 
-    scenes.play(check, routers=2)
+    harness.run_check(check, routers=2)
 
 
-def test_while_a_router_backs_off_from_all_replicas_callers_are_refused_at_once() -> None:
+def test_requests_are_rejected_at_once_while_all_replicas_back_off() -> None:
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.faults.backoff = 3.0
+        for replica in running.replicas.values():
+            replica.faults.backoff = 3.0
         for _ in range(4):
             await running.ask('/safe/x')
-        before = sum(known.asked for known in running.replicas.values())
+        before = sum(replica.asked for replica in running.replicas.values())
         began = clocks.now()
         replies = [await running.ask('/safe/x') for _ in range(10)]
         assert clocks.now() - began < 1.0
         assert {r.status for r in replies} == {503}
         assert all(1.0 < float(r.headers.get('Retry-After') or 0) <= 10.0 for r in replies)
-        assert sum(known.asked for known in running.replicas.values()) == before
+        assert sum(replica.asked for replica in running.replicas.values()) == before
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_replica_is_used_again_once_its_backoff_is_over() -> None:
+def test_replica_is_used_again_after_its_backoff() -> None:
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.faults.backoff = 0.4
+        for replica in running.replicas.values():
+            replica.faults.backoff = 0.4
         assert (await running.ask('/safe/x')).status == 503
-        for known in running.replicas.values():
-            known.faults.backoff = 0.0
+        for replica in running.replicas.values():
+            replica.faults.backoff = 0.0
         await asyncio.sleep(0.4)
         assert (await running.ask('/safe/x')).status == 200
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_one_router_backs_off_by_itself() -> None:
+def test_backoff_applies_only_to_the_router_that_received_it() -> None:
     async def check(running: deployment.Deployment) -> None:
         first, second = running.routers
-        life = first.pools.replicas['app-0'].life
-        first.pools.learn_signal(life, backpressure.Signal(backoff=3.0))
+        process = first.pools.replicas['app-0'].life
+        first.pools.learn_signal(process, backpressure.Signal(backoff=3.0))
         now = clocks.now()
         assert not replicas.is_open(first.pools.replicas['app-0'], now)
         assert replicas.is_open(second.pools.replicas['app-0'], now)
 
-    scenes.play(check, routers=2)
+    harness.run_check(check, routers=2)
 
 
-def test_a_shorter_backoff_does_not_cut_a_longer_one_short() -> None:
+def test_shorter_backoff_does_not_shorten_a_longer_one() -> None:
     async def check(running: deployment.Deployment) -> None:
         (router,) = running.routers
-        known = router.pools.replicas['app-0']
+        replica = router.pools.replicas['app-0']
         for backoff in (3.0, 0.1, 1e9):
-            router.pools.learn_signal(known.life, backpressure.Signal(backoff=backoff))
-            assert known.backoff_until > clocks.now() + 2.0
-        assert known.backoff_until <= clocks.now() + pools.BACKOFF_MAX
+            router.pools.learn_signal(replica.life, backpressure.Signal(backoff=backoff))
+            assert replica.backoff_until > clocks.now() + 2.0
+        assert replica.backoff_until <= clocks.now() + pools.BACKOFF_MAX
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_request_that_waited_for_its_connection_goes_elsewhere(
+def test_backoff_during_connect_moves_the_request_to_another_replica(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was placed before the replica told to back off."""
+    """The request was placed before the replica asked the router to back off."""
 
     async def check(running: deployment.Deployment) -> None:
         (router,) = running.routers
@@ -121,8 +121,8 @@
         async def connect_late(address: str) -> connections.Connection:
             connection = await connect(address)
             if address == running.replicas['app-0'].address:
-                life = router.pools.replicas['app-0'].life
-                router.pools.learn_signal(life, backpressure.Signal(backoff=2.0))
+                process = router.pools.replicas['app-0'].life
+                router.pools.learn_signal(process, backpressure.Signal(backoff=2.0))
             return connection
 
         monkeypatch.setattr(pool, '_connect', connect_late)
@@ -130,4 +130,4 @@
         assert {r.status for r in replies} == {200}
         assert running.replicas['app-0'].asked == 0
 
-    scenes.play(check)
+    harness.run_check(check)
--- a/passpier/tests/platform/backpressure_tests.py
+++ b/passpier/tests/platform/backpressure_tests.py
@@ -1,4 +1,4 @@
-"""What replicas ask of their callers in the answers that they give."""
+"""Backpressure signals in the responses of replicas."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from passpier.core import backpressure
 from passpier.platform import dialect, names
 from passpier.standins.platform import deployment
-from passpier.tests.platform import scenes
+from passpier.tests.platform import harness
 
 
 def read_signal(*headers: tuple[str, str], status: int = 200) -> backpressure.Signal:
@@ -18,7 +18,7 @@
     return dialect.Requests().read_signal(head)
 
 
-def test_an_answer_without_a_limit_names_none() -> None:
+def test_response_without_headers_has_no_signal() -> None:
     assert read_signal() == backpressure.NO_SIGNAL
 
 
@@ -28,12 +28,12 @@
 
 
 @pytest.mark.parametrize('text', ['', 'many', '-1', 'nan', 'inf', '1e999', '3;q=1'])
-def test_what_is_no_number_names_no_limit(text: str) -> None:
+def test_invalid_limits_are_ignored(text: str) -> None:
     assert read_signal((names.LIMIT, text)) == backpressure.NO_SIGNAL
 
 
 @pytest.mark.parametrize(('text', 'leaving'), [('1', True), ('0', False), ('', False)])
-def test_answers_tell_of_leaving(text: str, leaving: bool) -> None:
+def test_responses_announce_that_a_replica_is_leaving(text: str, leaving: bool) -> None:
     assert read_signal((names.LEAVING, text)).leaving is leaving
 
 
@@ -47,29 +47,31 @@
         ('Wed, 21 Oct 2026 07:28:00 GMT', None),
     ],
 )
-def test_refusals_may_tell_to_back_off_in_seconds(text: str, backoff: float | None) -> None:
+def test_rejections_may_carry_a_backoff_in_seconds(text: str, backoff: float | None) -> None:
     assert read_signal(('Retry-After', text), status=503).backoff == backoff
 
 
 @pytest.mark.parametrize('status', [200, 429, 500])
-def test_other_answers_tell_no_backoff(status: int) -> None:
+def test_other_statuses_carry_no_backoff(status: int) -> None:
     assert read_signal(('Retry-After', '3'), status=status).backoff is None
 
 
-def test_the_log_tells_limits_and_the_choices_under_them(caplog: pytest.LogCaptureFixture) -> None:
+def test_log_shows_limits_and_decisions_under_them(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     caplog.set_level(logging.INFO)
 
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.faults.limit = 40.0
+        for replica in running.replicas.values():
+            replica.faults.limit = 40.0
         for _ in range(6):
             await running.ask('/safe/x')
 
-    scenes.play(check)
+    harness.run_check(check)
     lines = [r.__dict__ for r in caplog.records]
-    told = [r for r in lines if r['message'] == 'upstream signal']
-    assert {r['limit'] for r in told} == {40.0}
-    assert len(told) == len({r['upstream'] for r in told})
+    signals = [r for r in lines if r['message'] == 'upstream signal']
+    assert {r['limit'] for r in signals} == {40.0}
+    assert len(signals) == len({r['upstream'] for r in signals})
     chosen = [r.get('limit') for r in lines if r['message'] == 'routing decision']
     assert chosen[0] is None
     assert chosen[-1] == 40.0
--- a/passpier/tests/platform/costs_tests.py
+++ b/passpier/tests/platform/costs_tests.py
@@ -1,4 +1,4 @@
-"""The report of processor time tells of each kind of work."""
+"""The report of processor time covers each kind of work."""
 
 from __future__ import annotations
 
--- a/passpier/tests/platform/crashes_tests.py
+++ b/passpier/tests/platform/crashes_tests.py
@@ -1,14 +1,11 @@
-"""Requests that end each replica that begins to run them, and come again at any router.
-
-Seen: one account's prompt came again every 0.3 to 0.5 s, each time under a new request id and at
-another router. 15 to 26 replicas ended under it, all five of a service within 0.9 s; each took up
-to 29 requests of others with it.
-
-How it came about: a router that lost its replica sent the request to the next one 0.3 ms later,
-then answered 502, and the next arrival was a new request to everybody. Cause: what a replica's end
-says about the requests that were running there was kept nowhere, neither beyond one request's life
-nor beyond one router. Proof: the request that is under most ends is the same one by path, caller
-and body; of those beside it nearly all are under one end.
+"""Requests that crash every replica that runs them, and that are repeated at any router.
+
+Guards against a crash-causing request that takes down a whole service. One account's prompt was
+repeated every 0.3 to 0.5 s, with a new request id and at another router each time: it crashed 15 to
+26 replicas, all five of a service within 0.9 s, and each crash failed up to 29 other requests. The
+router retried the request at the next replica after 0.3 ms, then responded 502, and no router
+recorded which requests were running at a crashed replica. The request that is involved in most
+crashes, identified by path, caller and body, is the cause; nearly all others are involved in one.
 """
 
 from __future__ import annotations
@@ -21,127 +18,129 @@
 
 from passpier import clocks
 from passpier.standins.platform import deployment, replica
-from passpier.tests.platform import scenes
+from passpier.tests.platform import harness
 
 DEADLY = b'a prompt that no replica survives'
 
-LIVES = 3
-"""Ends of replicas from which on a request is known to cause them."""
+CRASHES_UNTIL_KNOWN = 3
+"""Number of crashes after which a request is known to cause them."""
 
-TOLD_WITHIN = 1.5
-"""Seconds within which all routers know that."""
+SHARED_WITHIN = 1.5
+"""Seconds within which all routers know the cause."""
 
-SENDS_AFTER = 3
-"""How often the request may be sent from then on."""
+MAX_SENDS_AFTER = 3
+"""How often the request may still be sent after that."""
 
-AWAY = 0.4
-"""Seconds for which a replica is away that has ended."""
+DOWNTIME = 0.4
+"""Seconds for which a crashed replica is down."""
 
 
-def list_ends(running: deployment.Deployment) -> list[float]:
+def list_crash_times(running: deployment.Deployment) -> list[float]:
     return sorted(at for r in running.replicas.values() for _, at in r.ended_by)
 
 
-def list_sends(running: deployment.Deployment, prefix: str) -> list[float]:
+def list_send_times(running: deployment.Deployment, prefix: str) -> list[float]:
     runs = [run for r in running.replicas.values() for run in r.runs]
     return sorted(run.at for run in runs if run.id.startswith(prefix))
 
 
-async def send_again_and_again(
+async def send_repeatedly(
     running: deployment.Deployment, path: str, seconds: float, rng: random.Random
 ) -> list[deployment.Reply]:
-    """Send the deadly request to any router until the time is over."""
+    """Send the deadly request to random routers for some seconds."""
     replies = []
-    ends_at = clocks.now() + seconds
+    deadline = clocks.now() + seconds
     number = 0
-    while clocks.now() < ends_at:
+    while clocks.now() < deadline:
         number += 1
         entry = rng.randrange(len(running.routers))
         reply = await running.ask(
-            path, entry, id=f'deadly-{number}', body=DEADLY, headers=scenes.PROMPT
+            path, entry, id=f'deadly-{number}', body=DEADLY, headers=harness.PROMPT_HEADERS
         )
         replies.append(reply)
         await asyncio.sleep(rng.uniform(0.05, 0.2))
     return replies
 
 
-def test_a_request_that_ends_its_replicas_is_soon_sent_no_more() -> None:
+def test_request_that_crashes_replicas_is_soon_no_longer_sent() -> None:
     async def check(running: deployment.Deployment) -> None:
         for number in range(2, 5):
             zone = f'zone-{number % 2}'
             running.add_replica(replica.Replica(f'llm-{number}', 'llm', zone, deployment.MODEL))
         await running.wait_ready()
-        running.make_deadly(DEADLY, AWAY)
-        await send_again_and_again(running, '/stream/x', 6.0, random.Random(30))
-        known_at = list_ends(running)[LIVES - 1] + TOLD_WITHIN
-        late = [at for at in list_sends(running, 'deadly-') if at > known_at]
-        assert len(late) <= SENDS_AFTER
+        running.make_deadly(DEADLY, DOWNTIME)
+        await send_repeatedly(running, '/stream/x', 6.0, random.Random(30))
+        known_at = list_crash_times(running)[CRASHES_UNTIL_KNOWN - 1] + SHARED_WITHIN
+        late_sends = [at for at in list_send_times(running, 'deadly-') if at > known_at]
+        assert len(late_sends) <= MAX_SENDS_AFTER
 
-    scenes.play(check, routers=3)
+    harness.run_check(check, routers=3)
 
 
-def test_the_log_joins_a_request_that_comes_again(caplog: pytest.LogCaptureFixture) -> None:
-    """Lines had the id only, which is a new one each time."""
+def test_log_identifies_a_repeated_request(caplog: pytest.LogCaptureFixture) -> None:
+    """The request id differs each time, so log lines need the fingerprint as well."""
     caplog.set_level(logging.INFO)
 
     async def check(running: deployment.Deployment) -> None:
         for id, body in (('one', b'same'), ('two', b'same'), ('three', b'other')):
             await running.ask('/safe/x', id=id, body=body)
 
-    scenes.play(check)
+    harness.run_check(check)
     ended = [r.__dict__ for r in caplog.records if r.message == 'request ended']
     one, two, three = (r['fingerprint'] for r in ended)
     assert one == two != three
 
 
-def test_others_are_served_beside_a_request_that_ends_its_replicas() -> None:
+def test_other_requests_are_served_while_one_crashes_replicas() -> None:
     async def check(running: deployment.Deployment) -> None:
-        running.make_deadly(DEADLY, AWAY)
+        running.make_deadly(DEADLY, DOWNTIME)
         rng = random.Random(31)
-        await send_again_and_again(running, '/stream/x', 2.0, rng)
-        await asyncio.sleep(AWAY)
+        await send_repeatedly(running, '/stream/x', 2.0, rng)
+        await asyncio.sleep(DOWNTIME)
         entries = range(len(running.routers))
-        held = [await running.ask('/stream/x', e, body=DEADLY) for e in entries]
-        assert {r.status for r in held} == {503}
-        assert all(float(r.headers.get('Retry-After') or 0) > 1 for r in held)
-        good = [await running.ask('/stream/x', e, headers=scenes.PROMPT) for e in entries]
-        assert {r.status for r in good} == {200}
+        suspected = [await running.ask('/stream/x', e, body=DEADLY) for e in entries]
+        assert {r.status for r in suspected} == {503}
+        assert all(float(r.headers.get('Retry-After') or 0) > 1 for r in suspected)
+        unrelated = [
+            await running.ask('/stream/x', e, headers=harness.PROMPT_HEADERS) for e in entries
+        ]
+        assert {r.status for r in unrelated} == {200}
 
-    scenes.play(check, routers=3)
+    harness.run_check(check, routers=3)
 
 
-def test_a_router_that_starts_knows_which_requests_are_held_back() -> None:
-    """All others have ended, so that nobody but the registry can tell it."""
+def test_new_router_knows_the_suspect_requests() -> None:
+    """All other routers have stopped, so the new one can learn it only from the registry."""
 
     async def check(running: deployment.Deployment) -> None:
-        running.make_deadly(DEADLY, AWAY)
-        await send_again_and_again(running, '/stream/x', 3.0, random.Random(32))
+        running.make_deadly(DEADLY, DOWNTIME)
+        await send_repeatedly(running, '/stream/x', 3.0, random.Random(32))
         (first,) = running.routers
         first.force_stop()
         await running.wait_ended(first)
         running.routers.clear()
         running.add_router('vm-new', 'zone-1')
         await running.wait_ready()
-        await asyncio.sleep(AWAY)
+        await asyncio.sleep(DOWNTIME)
         reply = await running.ask('/stream/x', id='deadly-again', body=DEADLY)
         assert reply.status == 503
         assert not running.list_runs('deadly-again')
 
-    scenes.play(check, routers=1)
+    harness.run_check(check, routers=1)
 
 
-def test_connections_that_are_reset_bring_no_request_under_suspicion() -> None:
-    """The replica lives: something on the way, or the replica itself, has ended the connection."""
+def test_reset_connections_make_no_request_suspect() -> None:
+    """The replica is alive: it, or something in the network, has reset the connection."""
 
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.faults.lose = 20
+        for stand_in in running.replicas.values():
+            stand_in.faults.lose = 20
         for number in range(6):
             await running.ask('/safe/x', id=f'reset-{number}', body=b'same')
         await asyncio.sleep(0.1)
-        for known in running.replicas.values():
-            known.faults.lose = 0
+        for stand_in in running.replicas.values():
+            stand_in.faults.lose = 0
         reply = await running.ask('/safe/x', id='last', body=b'same')
         assert reply.status == 200
 
-    scenes.play(check)
+    harness.run_check(check)
--- a/passpier/tests/platform/fleet_tests.py
+++ b/passpier/tests/platform/fleet_tests.py
@@ -1,4 +1,4 @@
-"""Routers together: weights, members, planned stops, configuration and keys, store faults."""
+"""Several routers: weight rollouts, members, planned stops, configuration, keys, store faults."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from passpier.standins.platform import deployment, replica
 
 Check = Callable[[deployment.Deployment], Awaitable[None]]
-PROMPT = [
+PROMPT_HEADERS = [
     (names.MODEL, deployment.MODEL),
     (names.TOKENS, '1460,80'),
     (names.PARTS, '5c1e07a2:800,e4402b7d:250'),
 ]
 
 
-def play(check: Check, routers: int = 1) -> None:
+def run_check(check: Check, routers: int = 1) -> None:
     async def run() -> None:
         async with deployment.running(routers) as running:
             await check(running)
@@ -30,13 +30,13 @@
     asyncio.run(asyncio.wait_for(run(), 40))
 
 
-async def wait_for(condition: Callable[[], object], bound: float = 10.0) -> None:
-    async with asyncio.timeout(bound):
+async def wait_for(condition: Callable[[], object], timeout: float = 10.0) -> None:
+    async with asyncio.timeout(timeout):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-async def resolve(running: deployment.Deployment, entry: int, zone: str = '') -> list[str]:
+async def fetch_addresses(running: deployment.Deployment, entry: int, zone: str = '') -> list[str]:
     address = running.routers[entry].options.directory
     target = f'/resolve?name=x&region=here&zone={zone}'
     request = exchanges.Request('GET', target, [('Host', address)])
@@ -47,7 +47,7 @@
     return addresses
 
 
-async def ask_ready(running: deployment.Deployment, entry: int) -> int:
+async def fetch_ready_status(running: deployment.Deployment, entry: int) -> int:
     address = running.routers[entry].options.ready
     request = exchanges.Request('GET', '/readyz', [('Host', address)])
     return (await running.pool.fetch(address, request, 1.0)).head.status
@@ -57,7 +57,7 @@
     return [r for r in running.replicas.values() if r.model]
 
 
-def test_named_weights_come_to_every_replica_by_one_holder() -> None:
+def test_released_weights_reach_every_replica_from_one_holder() -> None:
     async def check(running: deployment.Deployment) -> None:
         await wait_for(lambda: any(r.rollouts.holder.token for r in running.routers))
         running.name_version(2)
@@ -67,35 +67,35 @@
         orders = [o for r in list_engines(running) for _, o in r.taken]
         assert len({o['holder'] for o in orders}) == 1
         assert len({o['fencing_token'] for o in orders}) == 1
-        known = running.routers[0].pools
+        pools = running.routers[0].pools
         await wait_for(
-            lambda: all(known.replicas[r.id].weight_version == '3' for r in list_engines(running))
+            lambda: all(pools.replicas[r.id].weight_version == '3' for r in list_engines(running))
         )
-        reply = await running.ask('/stream/x', id='after', headers=PROMPT)
+        reply = await running.ask('/stream/x', id='after', headers=PROMPT_HEADERS)
         assert reply.status == 200
         (run,) = running.list_runs('after')
         assert run.version == 3
         assert run.salt.endswith('/3')
 
-    play(check, routers=3)
+    run_check(check, routers=3)
 
 
-def test_the_salt_is_that_of_the_replicas_weights_while_they_change() -> None:
+def test_salt_matches_the_weights_of_the_replica_during_a_rollout() -> None:
     async def check(running: deployment.Deployment) -> None:
         running.name_version(2)
         replies = []
         while not all(r.version == 2 for r in list_engines(running)):
-            replies.append(await running.ask('/resume/x', headers=PROMPT))
+            replies.append(await running.ask('/resume/x', headers=PROMPT_HEADERS))
             await asyncio.sleep(0.02)
         assert {r.status for r in replies} <= {200, 503}
-        for known in list_engines(running):
-            for run in known.runs:
+        for engine in list_engines(running):
+            for run in engine.runs:
                 assert run.salt == f'tower/{deployment.MODEL}/{run.version}'
 
-    play(check)
+    run_check(check)
 
 
-def test_another_router_takes_over_the_orders() -> None:
+def test_another_router_takes_over_the_rollout() -> None:
     async def check(running: deployment.Deployment) -> None:
         await wait_for(lambda: any(r.rollouts.holder.token for r in running.routers))
         holder = next(r for r in running.routers if r.rollouts.holder.token)
@@ -103,24 +103,24 @@
         running.name_version(2)
         await wait_for(lambda: all(r.version == 2 for r in list_engines(running)), 15)
 
-    play(check, routers=2)
+    run_check(check, routers=2)
 
 
-def test_a_new_configuration_is_in_force_everywhere_at_once() -> None:
+def test_new_configuration_reaches_all_routers_quickly() -> None:
     async def check(running: deployment.Deployment) -> None:
         routes = running.configuration['routes']
         moved = [{**r, 'path_prefix': '/moved/'} if r['name'] == 'safe' else r for r in routes]
         running.configure(routes=moved)
-        tables = [r.known for r in running.routers]
-        await wait_for(lambda: all(k.table.configuration.version == 2 for k in tables), 1.0)  # type: ignore[union-attr]
+        states = [r.known for r in running.routers]
+        await wait_for(lambda: all(s.table.configuration.version == 2 for s in states), 1.0)  # type: ignore[union-attr]
         for entry in range(2):
             assert (await running.ask('/moved/x', entry)).status == 200
             assert (await running.ask('/safe/x', entry)).status == 404
 
-    play(check, routers=2)
+    run_check(check, routers=2)
 
 
-def test_a_revoked_key_runs_nothing_more() -> None:
+def test_revoked_key_is_rejected() -> None:
     async def check(running: deployment.Deployment) -> None:
         assert (await running.ask('/safe/x', key='secret-2')).status == 200
         running.configure(tenants=running.configuration['tenants'][:1])
@@ -129,46 +129,46 @@
         assert reply.status == 401
         assert not running.list_runs('late')
 
-    play(check)
+    run_check(check)
 
 
-def test_keys_are_refused_once_the_configuration_may_be_old() -> None:
+def test_keys_are_rejected_once_the_configuration_may_be_outdated() -> None:
     async def check(running: deployment.Deployment) -> None:
         running.faults.down = True
-        bound = running.routers[0].options.key_bound
+        key_bound = running.routers[0].options.key_bound
         while (await running.ask('/safe/x', id='x')).status == 200:
-            assert running.routers[0].known.freshness.compute_age(clocks.now()) < bound
+            assert running.routers[0].known.freshness.compute_age(clocks.now()) < key_bound
             await asyncio.sleep(0.02)
         reply = await running.ask('/safe/x', id='late')
         assert reply.status == 503
         assert not running.list_runs('late')
         assert (await running.ask('/open/x', key=None)).status == 200
-        assert await ask_ready(running, 0) == 503
+        assert await fetch_ready_status(running, 0) == 503
         running.faults.down = False
         await wait_for(lambda: running.routers[0].is_ready())
         assert (await running.ask('/safe/x')).status == 200
 
-    play(check)
+    run_check(check)
 
 
-def test_a_router_without_the_store_stays_fresh_by_its_peers() -> None:
+def test_router_without_the_store_gets_the_configuration_from_its_peers() -> None:
     async def check(running: deployment.Deployment) -> None:
-        cut = running.routers[0]
-        cut.adapter.source.address = '127.0.0.1:1'  # type: ignore[attr-defined]
-        await asyncio.sleep(cut.options.key_bound + 1.0)
+        isolated = running.routers[0]
+        isolated.adapter.source.address = '127.0.0.1:1'  # type: ignore[attr-defined]
+        await asyncio.sleep(isolated.options.key_bound + 1.0)
         assert (await running.ask('/safe/x', entry=0)).status == 200
-        # The peer tells that a key was taken away; see relaying_tests for peers that cannot.
+        # The peer relays that a key was revoked; see relaying_tests for peers that cannot.
         running.configure(tenants=running.configuration['tenants'][:1])
-        await asyncio.sleep(cut.options.key_bound)
+        await asyncio.sleep(isolated.options.key_bound)
         reply = await running.ask('/safe/x', entry=0, id='late', key='secret-2')
         assert reply.status == 401
         assert not running.list_runs('late')
         assert (await running.ask('/safe/x', entry=0)).status == 200
 
-    play(check, routers=2)
+    run_check(check, routers=2)
 
 
-def test_a_router_that_starts_without_the_store_says_not_run() -> None:
+def test_router_that_starts_without_the_store_responds_not_run() -> None:
     async def check(running: deployment.Deployment) -> None:
         running.faults.down = True
         running.add_router('late', 'zone-0')
@@ -181,24 +181,24 @@
         await wait_for(lambda: running.routers[1].is_ready())
         assert (await running.ask('/safe/x', entry=1)).status == 200
 
-    play(check)
+    run_check(check)
 
 
-def test_lost_history_is_read_again() -> None:
+def test_listing_is_read_again_after_the_history_was_compacted() -> None:
     async def check(running: deployment.Deployment) -> None:
         running.configure()
         running.meta.forget_history()
         running.add_replica(replica.Replica('app-9', 'app', 'zone-0'))
         running.remove_replica('app-0')
         running.meta.forget_history()
-        known = running.routers[0].pools
-        await wait_for(lambda: 'app-9' in known.replicas and 'app-0' not in known.replicas)
+        pools = running.routers[0].pools
+        await wait_for(lambda: 'app-9' in pools.replicas and 'app-0' not in pools.replicas)
 
-    play(check)
+    run_check(check)
 
 
 @pytest.mark.parametrize('fault', ['lose_answers', 'late_effects'])
-def test_lost_answers_of_writes_do_no_harm(fault: str) -> None:
+def test_lost_responses_of_writes_do_no_harm(fault: str) -> None:
     async def check(running: deployment.Deployment) -> None:
         setattr(running.faults, fault, 3)
         process = running.add_router('late', 'zone-1')
@@ -208,10 +208,10 @@
         running.name_version(2)
         await wait_for(lambda: all(r.version == 2 for r in list_engines(running)), 20)
 
-    play(check)
+    run_check(check)
 
 
-def test_a_draining_replica_gets_nothing_more() -> None:
+def test_draining_replica_gets_no_requests() -> None:
     async def check(running: deployment.Deployment) -> None:
         leaving = running.replicas['app-0']
         leaving.state = 'draining'
@@ -222,10 +222,10 @@
             assert (await running.ask('/safe/x')).status == 200
         assert len(leaving.runs) == before
 
-    play(check)
+    run_check(check)
 
 
-def test_an_address_used_again_by_another_service_runs_nothing() -> None:
+def test_address_reused_by_another_process_runs_no_requests() -> None:
     async def check(running: deployment.Deployment) -> None:
         stranger = running.replicas['app-0']
         stranger.id = 'somebody-else'
@@ -233,58 +233,58 @@
             assert (await running.ask('/once/x', id=f'q{number}')).status == 200
             await asyncio.sleep(0.05)
         assert not stranger.runs
-        # One answer tells that the replica is gone, whatever the registry still says.
+        # A single response shows that the replica is gone, even if the registry still lists it.
         assert stranger.misdirected <= 1
 
-    play(check)
+    run_check(check)
 
 
-def test_the_directory_names_who_serves_and_nobody_else() -> None:
+def test_directory_lists_exactly_the_serving_routers() -> None:
     async def check(running: deployment.Deployment) -> None:
         entries = [r.options.caller for r in running.routers]
         await wait_for(lambda: len(running.routers[0].roster.membership.list_known()) == 4)
-        near = await resolve(running, 0, 'zone-1')
+        near = await fetch_addresses(running, 0, 'zone-1')
         assert near == sorted([entries[1], entries[3]])
-        assert sorted(await resolve(running, 0, 'elsewhere')) == sorted(entries)
+        assert sorted(await fetch_addresses(running, 0, 'elsewhere')) == sorted(entries)
         running.routers[1].begin_stop()
         async with asyncio.timeout(1.0):
-            while entries[1] in await resolve(running, 0, 'zone-1'):
+            while entries[1] in await fetch_addresses(running, 0, 'zone-1'):
                 await asyncio.sleep(0.01)
-        assert await ask_ready(running, 1) == 503
+        assert await fetch_ready_status(running, 1) == 503
 
-    play(check, routers=4)
+    run_check(check, routers=4)
 
 
-def test_a_planned_stop_serves_on_and_cuts_nothing() -> None:
+def test_planned_stop_completes_all_requests() -> None:
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.work = 0.4
-        asked = [asyncio.ensure_future(running.ask('/once/x', entry=0)) for _ in range(4)]
+        for stand_in in running.replicas.values():
+            stand_in.work = 0.4
+        pending = [asyncio.ensure_future(running.ask('/once/x', entry=0)) for _ in range(4)]
         await wait_for(lambda: running.routers[0].ingress.in_flight == 4)
         running.routers[0].begin_stop()
         late = await running.ask('/safe/x', entry=0)
         assert late.status == 200
         assert late.headers.get('Connection') == 'close'
-        assert {r.status for r in await asyncio.gather(*asked)} == {200}
+        assert {r.status for r in await asyncio.gather(*pending)} == {200}
 
-    play(check, routers=2)
+    run_check(check, routers=2)
 
 
-def test_a_full_replica_is_passed_over() -> None:
+def test_full_replica_is_skipped() -> None:
     async def check(running: deployment.Deployment) -> None:
-        # Until then it may spend only its part of a large fleet's retries.
+        # Before that, the router may spend only its share of the retry budget of a large fleet.
         await running.wait_settled()
         running.replicas['app-0'].faults.refuse = 1000
         replies = [await running.ask('/safe/x') for _ in range(20)]
         assert {r.status for r in replies} == {200}
 
-    play(check)
+    run_check(check)
 
 
-def test_what_comes_late_in_a_stop_is_refused_instead_of_cut() -> None:
+def test_request_late_in_a_stop_is_rejected_instead_of_interrupted() -> None:
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.work = 4.5
+        for stand_in in running.replicas.values():
+            stand_in.work = 4.5
         process = running.routers[0]
         early = asyncio.ensure_future(running.ask('/slow/x', entry=0, patience_ms=6000))
         await wait_for(lambda: process.ingress.in_flight == 1)
@@ -296,10 +296,10 @@
         assert not running.list_runs('late')
         assert (await early).status == 200
 
-    play(check)
+    run_check(check)
 
 
-def test_a_taken_port_ends_the_start_and_nothing_hangs() -> None:
+def test_start_fails_if_the_port_is_in_use() -> None:
     async def check(running: deployment.Deployment) -> None:
         taken = running.routers[0].options.caller
         process = running.add_router('second', 'zone-0', caller=taken)
@@ -308,10 +308,10 @@
         running.routers.remove(process)
         assert (await running.ask('/safe/x')).status == 200
 
-    play(check)
+    run_check(check)
 
 
-def test_a_router_that_has_just_started_spends_little_of_the_shared_budget() -> None:
+def test_new_router_spends_little_of_the_shared_retry_budget() -> None:
     async def check(running: deployment.Deployment) -> None:
         process = running.routers[0]
         assert process.forwarder.daemons >= router.DAEMONS_AT_START
@@ -319,4 +319,4 @@
         granted = sum(budget.spend(clocks.now(), process.forwarder.daemons) for _ in range(100))
         assert granted <= process.options.retry_slack / router.DAEMONS_AT_START
 
-    play(check)
+    run_check(check)
--- a/passpier/tests/platform/scenes.py
+++ b/passpier/tests/platform/harness.py
@@ -1,4 +1,4 @@
-"""What the tests of requests through a router share."""
+"""Shared helpers of the tests that send requests through a router."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 Check = Callable[[deployment.Deployment], Awaitable[None]]
 Condition = Callable[[], bool]
 
-PROMPT = [
+PROMPT_HEADERS = [
     (names.MODEL, deployment.MODEL),
     (names.TOKENS, '1460,80'),
     (names.PARTS, '5c1e07a2:800,91bd3f06:410,e4402b7d:250'),
 ]
-BOUND = 30
-"""Seconds after which a test has failed."""
+TEST_TIMEOUT = 30
+"""Timeout of a test in seconds."""
 
 
-def play(check: Check, routers: int = 1) -> None:
-    """Run a check against a new deployment."""
+def run_check(check: Check, routers: int = 1) -> None:
+    """Run a check against a new deployment of stand-ins and routers."""
 
     async def run() -> None:
         async with deployment.running(routers) as running:
             await check(running)
 
-    asyncio.run(asyncio.wait_for(run(), BOUND))
+    asyncio.run(asyncio.wait_for(run(), TEST_TIMEOUT))
 
 
 async def wait_for(condition: Condition) -> None:
-    """Wait until a condition holds; the test's own bound ends it."""
+    """Wait until a condition holds; the timeout of the test limits the wait."""
     while not condition():
         await asyncio.sleep(0.005)
 
@@ -42,7 +42,7 @@
 async def running_process(
     folder: pathlib.Path,
 ) -> AsyncIterator[tuple[deployment.Deployment, routers.RouterProcess]]:
-    """Start the stand-ins and one router as a process."""
+    """Start the stand-ins, and one router as a separate process."""
     async with deployment.running(routers=0) as running:
         process = routers.RouterProcess(0, folder, running.store_address)
         await process.open()
@@ -54,20 +54,20 @@
             await process.close()
 
 
-def play_process(
+def run_process_check(
     folder: pathlib.Path,
     check: Callable[[deployment.Deployment, routers.RouterProcess], Awaitable[None]],
 ) -> None:
-    """Run a check against one router process."""
+    """Run a check against a router process."""
 
     async def run() -> None:
         async with running_process(folder) as (running, process):
             await check(running, process)
 
-    asyncio.run(asyncio.wait_for(run(), BOUND))
+    asyncio.run(asyncio.wait_for(run(), TEST_TIMEOUT))
 
 
-def set_work(running: deployment.Deployment, seconds: float) -> None:
-    """Have each request keep its replica at work for so long."""
-    for known in running.replicas.values():
-        known.work = seconds
+def set_processing_time(running: deployment.Deployment, seconds: float) -> None:
+    """Set how long each replica works on a request."""
+    for replica in running.replicas.values():
+        replica.work = seconds
--- a/passpier/tests/platform/input_tests.py
+++ b/passpier/tests/platform/input_tests.py
@@ -1,4 +1,4 @@
-"""What clients send that is torn, forged, too large or incomplete."""
+"""Invalid input from clients: malformed, forged, too large or incomplete requests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from passpier.platform import names
 from passpier.standins.platform import deployment
-from passpier.tests.platform import scenes
+from passpier.tests.platform import harness
 
 
 def make_head(*lines: str, id: str = 'one') -> bytes:
@@ -24,44 +24,44 @@
 
 
 async def send(running: deployment.Deployment, data: bytes, wait: float = 1.0) -> bytes:
-    """Send bytes on a connection of their own; return what comes until it ends or rests."""
+    """Send bytes on a new connection; return what is received until it closes or `wait` is over."""
     host, _, port = running.routers[0].options.caller.rpartition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
-    got = b''
+    received = b''
     try:
         writer.write(data)
         async with asyncio.timeout(wait):
             while part := await reader.read(65536):
-                got += part
-                if b'\r\n\r\n' in got and got.rstrip().endswith((b'}', b'5', b'3', b'0')):
+                received += part
+                if b'\r\n\r\n' in received and received.rstrip().endswith((b'}', b'5', b'3', b'0')):
                     break
     except (TimeoutError, ConnectionError):
-        return got
+        return received
     finally:
         writer.close()
-    return got
+    return received
 
 
 def count_runs(running: deployment.Deployment) -> int:
     return sum(len(r.runs) for r in running.replicas.values())
 
 
-def test_a_chunked_body_arrives_whole() -> None:
+def test_chunked_body_is_forwarded_completely() -> None:
     async def check(running: deployment.Deployment) -> None:
         data = make_head('Transfer-Encoding: chunked') + b'3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n'
-        got = await send(running, data)
-        assert got.startswith(b'HTTP/1.1 200')
-        assert got.endswith(b'POST /safe/x 5')
+        received = await send(running, data)
+        assert received.startswith(b'HTTP/1.1 200')
+        assert received.endswith(b'POST /safe/x 5')
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_body_without_length_is_none() -> None:
+def test_request_without_length_has_no_body() -> None:
     async def check(running: deployment.Deployment) -> None:
-        got = await send(running, make_head())
-        assert got.endswith(b'POST /safe/x 0')
+        received = await send(running, make_head())
+        assert received.endswith(b'POST /safe/x 0')
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
 @pytest.mark.parametrize(
@@ -79,14 +79,14 @@
         b'\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03',
     ],
 )
-def test_forged_framing_runs_nothing(data: bytes) -> None:
+def test_invalid_framing_runs_nothing(data: bytes) -> None:
     async def check(running: deployment.Deployment) -> None:
-        got = await send(running, data, 0.4)
-        assert not got or got.startswith(b'HTTP/1.1 4')
+        received = await send(running, data, 0.4)
+        assert not received or received.startswith(b'HTTP/1.1 4')
         assert count_runs(running) == 0
         assert (await running.ask('/safe/x')).status == 200
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
 @pytest.mark.parametrize(
@@ -97,27 +97,27 @@
         (f'{names.MODEL}: m', f'{names.TOKENS}: 5,x'),
     ],
 )
-def test_headers_that_make_no_sense_are_answered_400(lines: tuple[str, ...]) -> None:
+def test_invalid_headers_get_status_400(lines: tuple[str, ...]) -> None:
     async def check(running: deployment.Deployment) -> None:
         head = make_head(*lines, 'Content-Length: 0').replace(
             f'{names.DEADLINE}: 1000\r\n'.encode(), b''
         )
-        got = await send(running, head)
-        assert got.startswith(b'HTTP/1.1 400')
+        received = await send(running, head)
+        assert received.startswith(b'HTTP/1.1 400')
         assert count_runs(running) == 0
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_request_without_id_is_answered_400() -> None:
+def test_request_without_id_gets_status_400() -> None:
     async def check(running: deployment.Deployment) -> None:
         head = make_head('Content-Length: 0').replace(f'{names.REQUEST_ID}: one\r\n'.encode(), b'')
         assert (await send(running, head)).startswith(b'HTTP/1.1 400')
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_torn_request_leaves_nothing_behind() -> None:
+def test_incomplete_request_leaves_no_state() -> None:
     async def check(running: deployment.Deployment) -> None:
         for data in (make_head()[:40], make_head('Content-Length: 10') + b'abc'):
             await send(running, data, 0.1)
@@ -125,15 +125,15 @@
         assert count_runs(running) == 0
         assert running.routers[0].ingress.in_flight == 0
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_two_requests_on_one_connection_get_their_own_answers() -> None:
+def test_pipelined_requests_get_their_own_responses() -> None:
     async def check(running: deployment.Deployment) -> None:
         first = make_head('Content-Length: 1', id='first') + b'a'
         second = make_head('Content-Length: 2', id='second') + b'bb'
-        got = await send(running, first + second, 0.5)
+        received = await send(running, first + second, 0.5)
         assert len(running.list_runs('first')) == len(running.list_runs('second')) == 1
-        assert got.index(b'first') < got.index(b'second')
+        assert received.index(b'first') < received.index(b'second')
 
-    scenes.play(check)
+    harness.run_check(check)
--- a/passpier/tests/platform/layout_tests.py
+++ b/passpier/tests/platform/layout_tests.py
@@ -1,4 +1,4 @@
-"""Nothing outside the adapter knows the platform's names."""
+"""The platform's names are used only inside the platform adapter."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 ROOT = pathlib.Path(passpier.__file__).parent
 ALLOWED = ('platform', 'standins/platform', 'tests/platform')
 COMMON = {names.READY_PATH, names.REPORT_PATH, names.LAST_EVENT, names.KEY, names.OWN_PREFIX}
-"""Names that are in wide use, or this project's own."""
+"""Names that are in general use, or that belong to passpier itself."""
 
 FIELDS = {
     'api_keys',
@@ -33,7 +33,7 @@
     return {v for v in values if len(v) > 6} - COMMON | FIELDS
 
 
-def test_no_name_of_the_platform_stands_outside_the_adapter() -> None:
+def test_platform_names_are_used_only_in_the_adapter() -> None:
     known = list_wire_names()
     assert names.REQUEST_ID in known
     for path in sorted(ROOT.rglob('*.py')):
@@ -45,14 +45,14 @@
         assert not found, f'{relative}: {found}'
 
 
-def test_only_the_adapter_and_its_stand_ins_import_the_adapter() -> None:
+def test_adapter_is_imported_only_by_itself_and_its_stand_ins() -> None:
     for path in sorted(ROOT.rglob('*.py')):
         relative = path.relative_to(ROOT).as_posix()
         if not relative.startswith(tuple(f'{a}/' for a in ALLOWED)):
             assert 'passpier.platform' not in path.read_text(), relative
 
 
-def test_the_run_time_set_is_pinned_as_the_development_set_is() -> None:
+def test_run_time_dependencies_are_pinned_like_the_development_ones() -> None:
     root = ROOT.parent
     locked = set((root / 'requirements.lock').read_text().lower().replace('-', '_').split())
     lines = (root / 'requirements.txt').read_text().splitlines()
--- a/passpier/tests/platform/limits_tests.py
+++ b/passpier/tests/platform/limits_tests.py
@@ -1,4 +1,4 @@
-"""Accounts with a rate, on the platform's wire: what runs, what is refused, what it is told."""
+"""Rate limits of accounts: which requests run, which are rejected, and with which response."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from passpier.core import buckets
 from passpier.platform import names, records
 from passpier.standins.platform import deployment
-from passpier.tests.platform import scenes
+from passpier.tests.platform import harness
 
 RATE = 10_000
-"""Tokens a second, and as many saved up."""
+"""Tokens per second; the burst has the same size."""
 
 COST = 1_420
-"""Tokens of one prompt with its answer, as its header tells them."""
+"""Tokens of one prompt and its completion, as declared in the header."""
 
 PROMPT = [(names.MODEL, deployment.MODEL), (names.TOKENS, '1400,20'), (names.PARTS, 'aa:1400')]
 
 
-def limit(running: deployment.Deployment, rate: float = RATE, **more: object) -> None:
+def set_rate(running: deployment.Deployment, rate: float = RATE, **more: object) -> None:
     tenant = {
         'name': 'tower',
         'api_keys': [deployment.KEY],
@@ -36,13 +36,13 @@
 
 
 @pytest.fixture(autouse=True)
-def grown_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let a process that knows nobody be sure of it at once."""
+def skip_warm_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let a process without known peers rely on that immediately after its start."""
     monkeypatch.setattr(buckets, 'YOUNG_SECONDS', 0.0)
 
 
 async def wait_full(running: deployment.Deployment) -> None:
-    """Wait until all routers know the limit and have nearly all of their part of it."""
+    """Wait until all routers know the rate and have nearly their full share of the burst."""
     async with asyncio.timeout(20):
         while not all(
             r.limiter.book.has_rates
@@ -55,32 +55,32 @@
 
 
 @pytest.mark.parametrize('routers', [1, 2])
-def test_an_account_far_above_its_limit_runs_no_more_than_that(routers: int) -> None:
+def test_account_far_above_its_limit_is_held_to_it(routers: int) -> None:
     async def check(running: deployment.Deployment) -> None:
-        limit(running)
+        set_rate(running)
         await wait_full(running)
-        asked = [
+        requests = [
             running.ask('/stream/x', n % routers, id=f'n{n}', headers=PROMPT) for n in range(120)
         ]
-        replies = await asyncio.gather(*asked)
+        replies = await asyncio.gather(*requests)
         statuses = [r.status for r in replies]
         assert set(statuses) == {200, 429}
         rate = buckets.Rate(RATE, RATE)
         tolerance = running.routers[0].options.rate_tolerance
-        given = RATE * tolerance.window + RATE
-        assert statuses.count(200) * COST <= given + tolerance.compute_excess(rate)
-        assert len(replies) * COST > given + tolerance.compute_excess(rate)
+        allowance = RATE * tolerance.window + RATE
+        assert statuses.count(200) * COST <= allowance + tolerance.compute_excess(rate)
+        assert len(replies) * COST > allowance + tolerance.compute_excess(rate)
         for n, reply in enumerate(replies):
             assert len(running.list_runs(f'n{n}')) == (reply.status == 200)
             if reply.status == 429:
                 assert float(reply.headers.get('Retry-After') or 0) > 0
 
-    scenes.play(check, routers=routers)
+    harness.run_check(check, routers=routers)
 
 
-def test_who_comes_back_when_told_is_served() -> None:
+def test_retry_after_the_stated_time_is_served() -> None:
     async def check(running: deployment.Deployment) -> None:
-        limit(running)
+        set_rate(running)
         await wait_full(running)
         refused = 0
         for n in range(14):
@@ -92,59 +92,59 @@
             assert reply.status == 200
         assert refused
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_what_reached_no_replica_is_not_counted() -> None:
+def test_request_that_reached_no_replica_is_not_counted() -> None:
     async def check(running: deployment.Deployment) -> None:
-        limit(running)
+        set_rate(running)
         await wait_full(running)
         for id in list(running.replicas):
             running.remove_replica(id)
-        await scenes.wait_for(lambda: not running.routers[0].pools.replicas)
+        await harness.wait_for(lambda: not running.routers[0].pools.replicas)
         replies = [await running.ask('/stream/x', headers=PROMPT) for _ in range(10)]
         assert {r.status for r in replies} == {503}
         assert running.routers[0].limiter.book.get_level('tower', clocks.now()) >= RATE * 0.9
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
 def test_each_run_of_a_repeated_request_is_counted() -> None:
     async def check(running: deployment.Deployment) -> None:
-        limit(running)
+        set_rate(running)
         await wait_full(running)
-        for known in running.replicas.values():
-            known.faults.lose = 1
+        for replica in running.replicas.values():
+            replica.faults.lose = 1
         book = running.routers[0].limiter.book
         before = book.get_spent('tower')
         await running.ask('/resume/x', id='one', headers=PROMPT)
         assert book.get_spent('tower') - before == COST * len(running.list_runs('one'))
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_requests_without_tokens_count_what_the_operator_says() -> None:
+def test_requests_without_tokens_have_the_configured_cost() -> None:
     async def check(running: deployment.Deployment) -> None:
-        limit(running)
+        set_rate(running)
         await wait_full(running)
         book = running.routers[0].limiter.book
         before = book.get_spent('tower')
         await running.ask('/safe/x')
         assert book.get_spent('tower') - before == 200
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_an_account_without_a_rate_is_never_refused() -> None:
+def test_account_without_a_rate_is_never_rejected() -> None:
     async def check(running: deployment.Deployment) -> None:
-        limit(running, 0)
+        set_rate(running, 0)
         replies = [await running.ask('/stream/x', headers=PROMPT) for _ in range(20)]
         assert {r.status for r in replies} == {200}
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_rates_of_the_configuration() -> None:
+def test_rates_are_decoded_from_the_configuration() -> None:
     tenants = [
         {'name': 'a', 'rate_per_s': 10, 'burst': 5, 'unit': 'tokens', 'uncached_tokens': 200},
         {'name': 'b', 'rate_per_s': 3},
--- a/passpier/tests/platform/lives_tests.py
+++ b/passpier/tests/platform/lives_tests.py
@@ -1,7 +1,7 @@
-"""What a process believes of replicas that start again under their id, from the entries it reads.
+"""What a router concludes from registry entries about replicas that restart with the same id.
 
-A replica that has started again holds nothing of before: neither newer weights nor a cache, and it
-has said nothing of leaving.
+A restarted replica keeps no state: neither newer weights nor a cache, and it has not announced that
+it is leaving.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from passpier.platform import dialect, names
 from passpier.routing import knowledge, pools
 from passpier.standins.platform import deployment
-from passpier.tests.platform import scenes
+from passpier.tests.platform import harness
 
 ID = 'i-1'
 MODEL = 'm1'
@@ -28,8 +28,8 @@
 ]
 
 
-class Registry:
-    """Writes entries, each at the next revision, into what a process knows."""
+class RegistryWriter:
+    """Applies entries to the registry state of a router, each at the next revision."""
 
     def __init__(self) -> None:
         self.known = knowledge.Knowledge(dialect.Records(), pools.Pools(10.0), 5.0)
@@ -72,178 +72,183 @@
 
 
 @pytest.fixture(name='store')
-def make_registry() -> Registry:
-    store = Registry()
+def make_registry() -> RegistryWriter:
+    store = RegistryWriter()
     store.record(weights=3)
     return store
 
 
-def test_a_replica_that_starts_again_with_older_weights_has_these(store: Registry) -> None:
-    """The higher version of the process before stayed in the books.
+def test_restarted_replica_with_older_weights_has_those_weights(store: RegistryWriter) -> None:
+    """Guards against keeping the higher version of the previous process.
 
-    Requests went there with the wrong precondition and the wrong salt, and no order ever brought
-    the replica up, since it seemed to have the newest weights.
+    With it, requests were sent with the wrong precondition and salt, and the replica got no order
+    to load weights, because it seemed to have the newest ones.
     """
     store.record(weights=2, born=2000)
     assert store.known.pools.get(ID).weight_version == '2'
 
 
-def test_a_replica_that_starts_again_has_an_empty_cache(store: Registry) -> None:
+def test_restarted_replica_has_an_empty_cache(store: RegistryWriter) -> None:
     job = make_job()
-    known = store.known.pools
-    incarnation = known.cache.get_incarnation(ID)
-    known.cache.correct(ID, incarnation, job.chain, 0, len(job.chain), clocks.now())
-    assert known.cache.match(ID, job.chain, clocks.now()).blocks
+    cache = store.known.pools.cache
+    incarnation = cache.get_incarnation(ID)
+    cache.correct(ID, incarnation, job.chain, 0, len(job.chain), clocks.now())
+    assert cache.match(ID, job.chain, clocks.now()).blocks
     store.record(weights=3, born=2000)
-    assert not known.cache.match(ID, job.chain, clocks.now()).blocks
+    assert not cache.match(ID, job.chain, clocks.now()).blocks
 
 
-def test_what_a_replica_did_before_it_started_again_is_forgotten(store: Registry) -> None:
-    """Pauses, strikes, learnt rates and open requests were those of the process before."""
-    known = store.known.pools
-    before = known.get(ID)
+def test_state_of_the_previous_process_is_dropped(store: RegistryWriter) -> None:
+    """Guards against keeping pauses, failure counts and learnt rates of the previous process."""
+    pools = store.known.pools
+    before = pools.get(ID)
     before.seconds_per_token = 1.0
-    known.silent.add(ID)
+    pools.silent.add(ID)
     for _ in range(3):
-        known.ejector.note_failure(ID, clocks.now())
+        pools.ejector.note_failure(ID, clocks.now())
     before.paused_until = clocks.now() + 100.0
     store.record(weights=3, born=2000)
     now = clocks.now()
-    after = known.get(ID)
+    after = pools.get(ID)
     assert after.seconds_per_token < 1.0
     assert after.paused_until < now
-    assert not known.silent
-    assert not known.ejector.is_ejected(ID, now)
+    assert not pools.silent
+    assert not pools.ejector.is_ejected(ID, now)
 
 
-def test_leaving_that_the_process_before_announced_does_not_bind(store: Registry) -> None:
-    """What was said to leave has left: the process that stands there now has said nothing."""
+def test_leaving_of_the_previous_process_does_not_apply(store: RegistryWriter) -> None:
+    """The process that announced it is gone; the current one has announced nothing."""
     store.record(weights=3, state='draining')
     assert not store.list_used()
     store.record(weights=3, born=2000)
     assert store.list_used() == {ID}
 
 
-def test_leaving_binds_the_process_that_announced_it(store: Registry) -> None:
+def test_leaving_applies_to_the_process_that_announced_it(store: RegistryWriter) -> None:
     store.record(weights=3, state='draining')
     store.record(weights=3)
     assert not store.list_used()
 
 
-def test_a_replica_that_starts_again_elsewhere_is_sought_there(store: Registry) -> None:
+def test_restarted_replica_is_reached_at_its_new_address(store: RegistryWriter) -> None:
     store.record(weights=3, born=2000, address='10.0.0.2:8080')
     assert store.known.pools.get(ID).address == '10.0.0.2:8080'
 
 
-def test_after_a_jump_of_its_clock_a_replica_may_be_born_earlier(store: Registry) -> None:
+def test_start_time_may_be_earlier_after_a_clock_change(store: RegistryWriter) -> None:
     store.record(weights=2, born=500)
     assert store.known.pools.get(ID).weight_version == '2'
 
 
-def test_the_same_process_keeps_what_was_learnt(store: Registry) -> None:
-    known = store.known.pools
-    known.get(ID).seconds_per_token = 1.0
-    known.pause(known.get(ID).life, pauses.Pause.FULL, 10.0, 'full')
+def test_state_of_the_same_process_is_kept(store: RegistryWriter) -> None:
+    pools = store.known.pools
+    pools.get(ID).seconds_per_token = 1.0
+    pools.pause(pools.get(ID).life, pauses.Pause.FULL, 10.0, 'full')
     store.record(weights=4)
-    assert known.get(ID).seconds_per_token == 1.0
-    assert known.get(ID).paused_until > clocks.now()
-    assert known.get(ID).weight_version == '4'
+    assert pools.get(ID).seconds_per_token == 1.0
+    assert pools.get(ID).paused_until > clocks.now()
+    assert pools.get(ID).weight_version == '4'
 
 
-def test_a_replica_that_starts_again_in_a_release_comes_to_the_newest_weights() -> None:
-    """Routers took it for up to date, sent it what it refused, and never ordered it."""
+def test_replica_restarted_during_a_rollout_gets_the_newest_weights() -> None:
+    """Guards against routers that take it for up to date and never order it to load weights."""
 
     async def check(running: deployment.Deployment) -> None:
-        reborn = running.replicas['llm-0']
+        restarted = running.replicas['llm-0']
         running.name_version(2)
-        await scenes.wait_for(lambda: reborn.version == 2)
-        running.restart_replica(reborn.id, version=1)
-        known = [router.pools for router in running.routers]
-        await scenes.wait_for(
+        await harness.wait_for(lambda: restarted.version == 2)
+        running.restart_replica(restarted.id, version=1)
+        all_pools = [router.pools for router in running.routers]
+        await harness.wait_for(
             lambda: (
-                reborn.version == 2
-                and all(k.get(reborn.id).life == lives.Life(reborn.id, reborn.born) for k in known)
-                and all(k.get(reborn.id).weight_version == '2' for k in known)
+                restarted.version == 2
+                and all(
+                    p.get(restarted.id).life == lives.Life(restarted.id, restarted.born)
+                    for p in all_pools
+                )
+                and all(p.get(restarted.id).weight_version == '2' for p in all_pools)
             )
         )
-        replies = [await running.ask('/resume/x', headers=scenes.PROMPT) for _ in range(6)]
+        replies = [await running.ask('/resume/x', headers=harness.PROMPT_HEADERS) for _ in range(6)]
         assert [r.status for r in replies] == [200] * 6
 
-    scenes.play(check, 2)
+    harness.run_check(check, 2)
 
 
-def test_connections_to_a_process_that_has_ended_are_not_used_again() -> None:
-    """A request that may run only once was lost on one of them, though nothing had run."""
+def test_connections_to_a_stopped_process_are_not_reused() -> None:
+    """A non-idempotent request was lost on such a connection, although it never ran."""
 
     async def check(running: deployment.Deployment) -> None:
-        known = running.routers[0]
-        reborn = running.replicas['app-0']
-        resting = known.adapter.pool._idle
-        while not resting.get(reborn.address):
+        router = running.routers[0]
+        restarted = running.replicas['app-0']
+        idle = router.adapter.pool._idle
+        while not idle.get(restarted.address):
             assert (await running.ask('/once/x')).status == 200
             await asyncio.sleep(0.01)
-        before = list(resting[reborn.address])
-        entry = reborn.render_entry() | {'born': 2000}
-        running.meta.put(names.REPLICA_PREFIX + reborn.id, entry)
-        await scenes.wait_for(lambda: known.pools.get(reborn.id).born == 2000)
+        before = list(idle[restarted.address])
+        entry = restarted.render_entry() | {'born': 2000}
+        running.meta.put(names.REPLICA_PREFIX + restarted.id, entry)
+        await harness.wait_for(lambda: router.pools.get(restarted.id).born == 2000)
         assert all(c.closed for c in before)
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def start_again(running: deployment.Deployment, id: str) -> None:
-    """Let a replica record that its process has started again."""
+def record_restart(running: deployment.Deployment, id: str) -> None:
+    """Record in the registry that the process of a replica has restarted."""
     entry = running.replicas[id].render_entry() | {'born': 2000}
     running.meta.put(names.REPLICA_PREFIX + id, entry)
 
 
-async def wait_for_run(running: deployment.Deployment, request: str) -> str:
-    """Return the replica that has begun to work on a request."""
+async def wait_for_working_replica(running: deployment.Deployment, request: str) -> str:
+    """Wait until a replica works on a request; return its id."""
 
     def find() -> list[str]:
-        known = running.replicas.values()
-        return [r.id for r in known if any(run.id == request for run in r.runs)]
+        replicas = running.replicas.values()
+        return [r.id for r in replicas if any(run.id == request for run in r.runs)]
 
-    await scenes.wait_for(lambda: bool(find()))
+    await harness.wait_for(lambda: bool(find()))
     return find()[0]
 
 
-def test_what_may_run_once_ends_as_unknown_when_its_process_has_ended() -> None:
-    """It waited for the next process until its time was over, and nobody could tell it more."""
+def test_non_idempotent_request_has_unknown_outcome_after_a_restart() -> None:
+    """Guards against waiting until the deadline: the new process cannot know the outcome."""
 
     async def check(running: deployment.Deployment) -> None:
         for replica in running.replicas.values():
             replica.faults.silent = True
-        asked = asyncio.ensure_future(running.ask('/slow/x', id='q', patience_ms=8000))
-        start_again(running, await wait_for_run(running, 'q'))
-        reply = await asked
+        pending = asyncio.ensure_future(running.ask('/slow/x', id='q', patience_ms=8000))
+        record_restart(running, await wait_for_working_replica(running, 'q'))
+        reply = await pending
         assert reply.status == 502
         assert len(running.list_runs('q')) == 1
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_stream_whose_process_has_ended_goes_on_elsewhere() -> None:
+def test_stream_of_a_stopped_process_is_resumed_elsewhere() -> None:
     async def check(running: deployment.Deployment) -> None:
         for replica in running.replicas.values():
             replica.faults.silent = True
-        asked = asyncio.ensure_future(
-            running.ask('/resume/x', id='q', patience_ms=8000, headers=scenes.PROMPT)
+        pending = asyncio.ensure_future(
+            running.ask('/resume/x', id='q', patience_ms=8000, headers=harness.PROMPT_HEADERS)
         )
-        first = await wait_for_run(running, 'q')
+        first = await wait_for_working_replica(running, 'q')
         for replica in running.replicas.values():
             replica.faults.silent = replica.id == first
-        start_again(running, first)
-        assert (await asked).status == 200
+        record_restart(running, first)
+        assert (await pending).status == 200
         runs = [r.id for r in running.replicas.values() if r.model and r.runs]
         assert len(runs) == 2
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
 @pytest.mark.parametrize('field', ['born', 'models'])
-def test_an_entry_that_lacks_what_others_tell_is_not_used(store: Registry, field: str) -> None:
-    """Another writer's differed in that alone, and requests went to the address in it."""
+def test_entry_without_a_field_that_the_others_have_is_not_used(
+    store: RegistryWriter, field: str
+) -> None:
+    """Guards against sending requests to entries of other writers that only lack this field."""
     store.record('i-other', **{field: None})
     assert store.list_used() == {ID}
     store.record('i-other')
@@ -251,8 +256,8 @@
 
 
 @pytest.mark.parametrize('field', ['born', 'models'])
-def test_a_replica_whose_entry_is_written_over_is_used_again_with_its_own(
-    store: Registry, field: str
+def test_replica_with_an_overwritten_entry_is_used_once_it_is_restored(
+    store: RegistryWriter, field: str
 ) -> None:
     store.record('i-2')
     store.record(ID, **{field: None})
@@ -261,13 +266,13 @@
     assert store.list_used() == {ID, 'i-2'}
 
 
-def test_where_no_entry_tells_its_start_all_are_used() -> None:
-    store = Registry()
+def test_entries_are_used_if_none_reports_its_start() -> None:
+    store = RegistryWriter()
     store.record('i-1', born=None)
     store.record('i-2', born=None)
     assert store.list_used() == {'i-1', 'i-2'}
 
 
-def test_what_another_services_replicas_tell_says_nothing(store: Registry) -> None:
+def test_entries_of_other_services_are_not_compared(store: RegistryWriter) -> None:
     store.record('i-app', service='app', born=None, models=None)
     assert store.list_used('app') == {'i-app'}
--- a/passpier/tests/platform/path_tests.py
+++ b/passpier/tests/platform/path_tests.py
@@ -1,4 +1,4 @@
-"""Requests through a router on the platform's wire, with stand-ins of the store and replicas."""
+"""Requests through a router with the platform adapter; store and replicas are stand-ins."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from passpier.core import replicas
 from passpier.platform import names
 from passpier.standins.platform import deployment, replica
-from passpier.tests.platform import scenes
+from passpier.tests.platform import harness
 
-FULL_SECONDS = 1.2
-"""Seconds without room: longer than any first attempt waits for its place."""
+SECONDS_WITHOUT_CAPACITY = 1.2
+"""Seconds without capacity: longer than any first attempt waits in the queue."""
 
-WHOLE = ''.join(f'id: {n}\ndata: piece {n}\n\n' for n in range(5)).encode()
+COMPLETE_STREAM = ''.join(f'id: {n}\ndata: piece {n}\n\n' for n in range(5)).encode()
 
 
-def test_each_kind_is_answered_whole() -> None:
+def test_each_kind_of_route_gets_a_complete_response() -> None:
     async def check(running: deployment.Deployment) -> None:
         for path in ('/safe/x?y=1', '/once/x?y=1', '/open/x?y=1'):
             reply = await running.ask(path, id='a' + path[1:4])
@@ -26,13 +26,13 @@
             assert reply.headers.get(names.STAMP)
             assert reply.headers.get(names.REQUEST_ID) == 'a' + path[1:4]
         for path in ('/stream/x', '/resume/x'):
-            reply = await running.ask(path, headers=scenes.PROMPT)
-            assert (reply.status, reply.body) == (200, WHOLE)
+            reply = await running.ask(path, headers=harness.PROMPT_HEADERS)
+            assert (reply.status, reply.body) == (200, COMPLETE_STREAM)
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_replicas_see_what_the_system_sets_and_nothing_else() -> None:
+def test_headers_of_the_router_cannot_be_forged_by_clients() -> None:
     async def check(running: deployment.Deployment) -> None:
         forged = [
             (names.ACCOUNT, 'somebody'),
@@ -41,16 +41,18 @@
             (names.EXPECT_INCARNATION, 'nobody'),
             (names.CACHE_SOURCE, '127.0.0.1:1'),
         ]
-        await running.ask('/stream/x', id='one', headers=[*scenes.PROMPT, *forged], patience_ms=900)
+        await running.ask(
+            '/stream/x', id='one', headers=[*harness.PROMPT_HEADERS, *forged], patience_ms=900
+        )
         (run,) = running.list_runs('one')
         assert run.account == 'tower'
         assert run.salt == f'tower/{deployment.MODEL}/1'
         assert 0 < run.time_left_ms <= 900
-        await running.ask('/stream/x', id='two', headers=scenes.PROMPT, key='secret-2')
+        await running.ask('/stream/x', id='two', headers=harness.PROMPT_HEADERS, key='secret-2')
         (run,) = running.list_runs('two')
         assert (run.account, run.salt) == ('farm', f'/{deployment.MODEL}/1')
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
 @pytest.mark.parametrize(
@@ -63,7 +65,7 @@
         ('/open/x', None, deployment.HOST, 200),
     ],
 )
-def test_what_no_configuration_allows_does_not_run(
+def test_request_that_the_configuration_does_not_allow_does_not_run(
     path: str, key: str | None, host: str, status: int
 ) -> None:
     async def check(running: deployment.Deployment) -> None:
@@ -71,16 +73,16 @@
         assert reply.status == status
         assert len(running.list_runs('one')) == (status == 200)
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_body_over_the_limit_is_refused() -> None:
+def test_body_over_the_limit_is_rejected() -> None:
     async def check(running: deployment.Deployment) -> None:
         reply = await running.ask('/safe/x', body=b'x' * 100_001, id='one')
         assert reply.status == 413
         assert not running.list_runs('one')
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
 @pytest.mark.parametrize(
@@ -102,63 +104,65 @@
         ('/resume/x', 'cut', 200, 2),
     ],
 )
-def test_outcomes_of_one_fault(path: str, fault: str, status: int, runs: int) -> None:
+def test_outcome_of_a_single_fault(path: str, fault: str, status: int, runs: int) -> None:
     async def check(running: deployment.Deployment) -> None:
-        # One request is hit, whichever replica it goes to first: they share the one fault.
+        # The replicas share a single fault, so it hits one request, wherever that goes first.
         wants_model = path.startswith(('/stream/', '/resume/'))
-        headers = scenes.PROMPT if wants_model else []
+        headers = harness.PROMPT_HEADERS if wants_model else []
         shared = replica.Faults()
         setattr(shared, fault, 1)
-        for known in running.replicas.values():
-            if bool(known.model) == wants_model:
-                known.faults = shared
+        for stand_in in running.replicas.values():
+            if bool(stand_in.model) == wants_model:
+                stand_in.faults = shared
         reply = await running.ask(path, id='one', headers=headers, patience_ms=800)
         assert getattr(shared, fault) == 0
         assert reply.status == status
         assert len(running.list_runs('one')) == runs
         if status == 200 and headers:
-            assert reply.body == WHOLE
+            assert reply.body == COMPLETE_STREAM
         stamped = reply.headers.get(names.STAMP) is not None
         assert stamped == (status in (200, 500))
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_cut_stream_that_may_not_go_on_does_not_look_whole() -> None:
+def test_interrupted_stream_that_cannot_be_resumed_does_not_look_complete() -> None:
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.faults.cut = 1
+        for stand_in in running.replicas.values():
+            stand_in.faults.cut = 1
         with pytest.raises(Exception, match='ended|closed|peer'):
-            await running.ask('/stream/x', id='one', headers=scenes.PROMPT)
+            await running.ask('/stream/x', id='one', headers=harness.PROMPT_HEADERS)
         assert len(running.list_runs('one')) == 1
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_cut_stream_waits_for_room_at_another_replica(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Replicas crash in a pool that is full: the others have room only when something ends."""
+def test_interrupted_stream_waits_for_capacity_at_another_replica(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """In a full pool, the other replicas have capacity only when a request ends."""
     has_room = replicas.has_room
     first_at: list[float] = []
 
     def has_room_later(replica: replicas.Replica, now: float) -> bool:
         if not first_at:
             first_at.append(now)
-        return has_room(replica, now) and not 0.0 < now - first_at[0] < FULL_SECONDS
+        return has_room(replica, now) and not 0.0 < now - first_at[0] < SECONDS_WITHOUT_CAPACITY
 
     async def check(running: deployment.Deployment) -> None:
         await running.wait_settled()
         shared = replica.Faults(cut=1)
-        for known in running.replicas.values():
-            known.faults = shared
+        for stand_in in running.replicas.values():
+            stand_in.faults = shared
         monkeypatch.setattr(replicas, 'has_room', has_room_later)
-        reply = await running.ask('/resume/x', headers=scenes.PROMPT, id='one')
-        assert (reply.status, reply.body) == (200, WHOLE)
+        reply = await running.ask('/resume/x', headers=harness.PROMPT_HEADERS, id='one')
+        assert (reply.status, reply.body) == (200, COMPLETE_STREAM)
         assert len(running.list_runs('one')) == 2
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_without_replicas_the_refusal_is_at_once_and_says_when_to_come_back() -> None:
+def test_without_replicas_requests_are_rejected_at_once_with_retry_after() -> None:
     async def check(running: deployment.Deployment) -> None:
         for id in list(running.replicas):
             running.remove_replica(id)
@@ -172,48 +176,48 @@
         assert loop.time() - began < 1.0
         assert float(reply.headers.get('Retry-After') or 0) > 0
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_route_ends_at_its_timeout() -> None:
+def test_request_ends_at_the_timeout_of_its_route() -> None:
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.faults.silent = True
+        for stand_in in running.replicas.values():
+            stand_in.faults.silent = True
         reply = await running.ask('/brief/x', id='one')
         assert reply.status == 504
         (run,) = running.list_runs('one')
         assert run.time_left_ms <= 150
-        for known in running.replicas.values():
-            known.faults.silent = False
+        for stand_in in running.replicas.values():
+            stand_in.faults.silent = False
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-async def ask_and_leave(running: deployment.Deployment) -> None:
-    """Close a client's connection while a replica works on its request."""
-    for known in running.replicas.values():
-        known.work = 1.0
-    asked = asyncio.ensure_future(running.ask('/safe/x', id='one'))
+async def disconnect_during_request(running: deployment.Deployment) -> None:
+    """Disconnect a client while a replica works on its request."""
+    for stand_in in running.replicas.values():
+        stand_in.work = 1.0
+    pending = asyncio.ensure_future(running.ask('/safe/x', id='one'))
     while not running.list_runs('one'):
         await asyncio.sleep(0.01)
-    asked.cancel()
+    pending.cancel()
 
 
-def test_a_client_that_leaves_leaves_nothing_running() -> None:
+def test_disconnect_leaves_nothing_running() -> None:
     async def check(running: deployment.Deployment) -> None:
-        await ask_and_leave(running)
-        while not any('one' in known.dropped for known in running.replicas.values()):
+        await disconnect_during_request(running)
+        while not any('one' in stand_in.dropped for stand_in in running.replicas.values()):
             await asyncio.sleep(0.01)
         assert running.routers[0].ingress.in_flight == 0
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
 @pytest.mark.parametrize(('path', 'status'), [('/safe/x', 200), ('/resume/x', 200)])
-def test_a_silent_replica_is_left_and_gets_nothing_more(path: str, status: int) -> None:
+def test_silent_replica_is_abandoned_and_gets_no_requests(path: str, status: int) -> None:
     async def check(running: deployment.Deployment) -> None:
         wants_model = path.startswith('/resume/')
-        headers = scenes.PROMPT if wants_model else []
+        headers = harness.PROMPT_HEADERS if wants_model else []
         silent = running.replicas['llm-0' if wants_model else 'app-0']
         await running.wait_settled()
         running.go_dark(silent.id)
@@ -226,75 +230,77 @@
         arrived = len(silent.runs)
         assert arrived <= 2
         running.go_light(silent.id)
-        known = running.routers[0].pools.replicas[silent.id]
-        while loop.time() < known.paused_until:
+        state = running.routers[0].pools.replicas[silent.id]
+        while loop.time() < state.paused_until:
             await asyncio.sleep(0.02)
         assert not running.routers[0].prober.is_silent(silent.id)
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_slow_replica_that_shows_life_is_waited_for() -> None:
+def test_slow_replica_that_is_alive_is_waited_for() -> None:
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.work = 0.9
+        for stand_in in running.replicas.values():
+            stand_in.work = 0.9
         reply = await running.ask('/once/x', id='one')
         assert reply.status == 200
         assert len(running.list_runs('one')) == 1
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_stream_that_has_begun_never_gets_a_second_head(
+def test_started_stream_never_gets_a_second_response_head(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level('INFO')
 
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.faults.cut = 1
+        for stand_in in running.replicas.values():
+            stand_in.faults.cut = 1
         freshness = running.routers[0].known.freshness
-        asked = asyncio.ensure_future(running.ask('/resume/x', id='one', headers=scenes.PROMPT))
+        pending = asyncio.ensure_future(
+            running.ask('/resume/x', id='one', headers=harness.PROMPT_HEADERS)
+        )
         running.faults.down = True
         while not running.list_runs('one'):
             await asyncio.sleep(0.001)
-        # From here on keys may have been taken away, so that the stream may not go on elsewhere.
+        # From here on keys may have been revoked, so the stream must not be resumed elsewhere.
         freshness.proved_at = float('-inf')
         with pytest.raises(Exception, match='ended|closed|peer'):
-            await asked
+            await pending
         assert len(running.list_runs('one')) == 1
 
-    scenes.play(check)
+    harness.run_check(check)
     ended = [r for r in caplog.records if r.message == 'request ended']
     assert [r.__dict__['outcome'] for r in ended] == ['stream_cut']
 
 
-def test_a_request_that_may_have_run_is_never_called_not_run() -> None:
+def test_request_that_may_have_run_is_never_reported_as_not_run() -> None:
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.faults.lose = 1
-            known.work = 0.1
+        for stand_in in running.replicas.values():
+            stand_in.faults.lose = 1
+            stand_in.work = 0.1
         freshness = running.routers[0].known.freshness
-        asked = asyncio.ensure_future(running.ask('/safe/x', id='one'))
+        pending = asyncio.ensure_future(running.ask('/safe/x', id='one'))
         running.faults.down = True
         while not running.list_runs('one'):
             await asyncio.sleep(0.001)
         freshness.proved_at = float('-inf')
-        assert (await asked).status == 502
+        assert (await pending).status == 502
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_the_log_does_not_call_a_request_not_run_that_its_client_left(
+def test_log_reports_an_unknown_outcome_after_a_disconnect(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level('INFO')
 
     async def check(running: deployment.Deployment) -> None:
-        await ask_and_leave(running)
+        await disconnect_during_request(running)
         while running.routers[0].ingress.in_flight:
             await asyncio.sleep(0.01)
 
-    scenes.play(check)
+    harness.run_check(check)
     (ended,) = [r.__dict__ for r in caplog.records if r.message == 'request ended']
     assert (ended['outcome'], ended['ran']) == ('client_gone', 'unknown')
--- a/passpier/tests/platform/play_tests.py
+++ b/passpier/tests/platform/play_tests.py
@@ -1,4 +1,4 @@
-"""Seeded load and trouble: the promises hold, and a broken variant is caught."""
+"""Seeded load with faults: all guarantees hold, and violations by a broken router are detected."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from passpier.standins.platform import play
 
 SECONDS = 4.0
-ASKS_SECONDS = 8.0
+SIGNALS_SECONDS = 8.0
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_no_promise_is_broken(seed: int) -> None:
+def test_no_guarantee_is_violated(seed: int) -> None:
     report = asyncio.run(play.play(seed, SECONDS, 60.0))
     assert report.broken == []
     assert any(a.status == 200 for a in report.asked)
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_what_replicas_ask_for_is_kept(seed: int) -> None:
-    report = asyncio.run(play.play(seed, ASKS_SECONDS, 60.0, asks=True))
+def test_backpressure_signals_are_respected(seed: int) -> None:
+    report = asyncio.run(play.play(seed, SIGNALS_SECONDS, 60.0, asks=True))
     assert report.broken == []
 
 
-def test_a_router_that_repeats_what_may_run_once_is_caught(
+def test_router_that_repeats_non_idempotent_requests_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(routes.Kind, 'is_repeatable', property(lambda self: True))
--- a/passpier/tests/platform/records_tests.py
+++ b/passpier/tests/platform/records_tests.py
@@ -1,4 +1,4 @@
-"""Entries that other writers left among those of the replicas: they name no replica to use."""
+"""Invalid entries among those of the replicas, written by others, must not be used."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 ID = lives_tests.ID
 OTHER = 'i-2'
 
-BROKEN: dict[str, bytes | dict[str, Any]] = {
+INVALID: dict[str, bytes | dict[str, Any]] = {
     'no bytes': b'',
     'not JSON': b'\xff\xfe{',
     'not UTF-8': json.dumps(lives_tests.make_entry(zone='#')).encode().replace(b'#', b'\xff'),
@@ -69,50 +69,52 @@
 }
 
 
-def build_store() -> lives_tests.Registry:
-    store = lives_tests.Registry()
+def build_store() -> lives_tests.RegistryWriter:
+    store = lives_tests.RegistryWriter()
     store.record(ID, weights=3)
     store.record(OTHER, weights=3, address='10.0.0.2:8080')
     return store
 
 
 @pytest.fixture(name='store')
-def make_store() -> lives_tests.Registry:
+def make_store() -> lives_tests.RegistryWriter:
     return build_store()
 
 
-@pytest.mark.parametrize('name', BROKEN)
-def test_a_broken_entry_names_no_replica(store: lives_tests.Registry, name: str) -> None:
-    """The entry that stood under the key before stayed in use, or what was broken was guessed."""
-    store.put(names.REPLICA_PREFIX + ID, BROKEN[name])
+@pytest.mark.parametrize('name', INVALID)
+def test_invalid_entry_is_not_used(store: lives_tests.RegistryWriter, name: str) -> None:
+    """Guards against using the previous entry of the key, or defaults for invalid fields."""
+    store.put(names.REPLICA_PREFIX + ID, INVALID[name])
     assert store.list_used() == {OTHER}
     assert set(store.known.pools.replicas) == {OTHER}
 
 
-@pytest.mark.parametrize('name', BROKEN)
-def test_a_broken_entry_is_no_reason_to_wait_for_its_return(
-    store: lives_tests.Registry, name: str
+@pytest.mark.parametrize('name', INVALID)
+def test_invalid_entry_is_dropped_even_during_an_outage(
+    store: lives_tests.RegistryWriter, name: str
 ) -> None:
-    """Entries that vanish while the registry is disturbed may return; this one was written."""
+    """Entries that vanish during a registry outage may return, but this one was overwritten."""
     store.known.catalogue.note_disturbance(1e12)
-    store.put(names.REPLICA_PREFIX + ID, BROKEN[name])
+    store.put(names.REPLICA_PREFIX + ID, INVALID[name])
     assert store.list_used() == {OTHER}
 
 
-def test_a_replica_that_records_itself_again_is_used_again(store: lives_tests.Registry) -> None:
+def test_replica_is_used_again_after_it_rewrites_its_entry(
+    store: lives_tests.RegistryWriter,
+) -> None:
     store.put(names.REPLICA_PREFIX + ID, b'\xff')
     store.record(ID, weights=3)
     assert store.list_used() == {ID, OTHER}
 
 
-def test_what_is_not_read_may_be_missing(store: lives_tests.Registry) -> None:
-    """Replicas of plain services have no models; older ones do not tell when they started."""
+def test_optional_fields_may_be_missing(store: lives_tests.RegistryWriter) -> None:
+    """Replicas of plain services have no models; older ones do not report their start time."""
     store.record(ID, service='app', models=None, born=None, weights=0)
     assert store.list_used('app') == {ID}
 
 
-def test_a_replica_of_an_unknown_service_waits_for_its_configuration(
-    store: lives_tests.Registry,
+def test_replica_of_an_unknown_service_is_used_once_it_is_configured(
+    store: lives_tests.RegistryWriter,
 ) -> None:
     store.record('i-3', service='soon', address='10.0.0.3:8080')
     assert not store.list_used('soon')
@@ -123,14 +125,14 @@
     assert 'i-3' in {s.id for s in store.known.pools.list_states()}
 
 
-def test_a_replica_whose_service_is_dropped_is_not_used(store: lives_tests.Registry) -> None:
+def test_replica_of_a_removed_service_is_not_used(store: lives_tests.RegistryWriter) -> None:
     store.put(names.CONFIGURATION_KEY, {'version': 2, 'services': lives_tests.SERVICES[1:]})
     assert not store.list_used()
     assert not store.known.pools.list_states()
 
 
-def test_two_entries_with_one_address_both_stand(store: lives_tests.Registry) -> None:
-    """Which of them lives there, the process at the address tells each that asks it."""
+def test_two_entries_may_have_the_same_address(store: lives_tests.RegistryWriter) -> None:
+    """The process at the address states its identity in each response."""
     store.record('i-3', weights=3)
     assert store.list_used() == {ID, OTHER, 'i-3'}
 
@@ -143,7 +145,7 @@
 
 
 @hypothesis.given(data=st.binary(max_size=60) | _JSON.map(lambda v: json.dumps(v).encode()))
-def test_whatever_bytes_there_are_the_others_hold(data: bytes) -> None:
+def test_arbitrary_bytes_do_not_affect_other_entries(data: bytes) -> None:
     store = build_store()
     store.put(names.REPLICA_PREFIX + ID, data)
     store.put(names.VERSION_PREFIX + lives_tests.MODEL, data)
@@ -153,7 +155,9 @@
 @hypothesis.given(
     field=st.sampled_from(sorted(lives_tests.make_entry())), value=_JSON, cut=st.integers(0, 200)
 )
-def test_whatever_a_field_holds_the_others_hold(field: str, value: Any, cut: int) -> None:
+def test_arbitrary_field_values_do_not_affect_other_entries(
+    field: str, value: Any, cut: int
+) -> None:
     store = build_store()
     data = json.dumps(lives_tests.make_entry() | {field: value}).encode()
     store.put(names.REPLICA_PREFIX + ID, data)
@@ -162,10 +166,10 @@
     assert all(r.slots > 0 and r.address for r in store.known.pools.replicas.values())
 
 
-def test_broken_namings_leave_the_known_one(store: lives_tests.Registry) -> None:
+def test_invalid_releases_are_ignored(store: lives_tests.RegistryWriter) -> None:
     key = names.VERSION_PREFIX + lives_tests.MODEL
     store.put(key, {'model': lives_tests.MODEL, 'version': 4})
-    for broken in (
+    for invalid in (
         b'\xff',
         {'model': lives_tests.MODEL},
         {'model': lives_tests.MODEL, 'version': 5.0},
@@ -174,13 +178,13 @@
         {'model': lives_tests.MODEL, 'version': 10**30},
         {'model': 'another', 'version': 5},
     ):
-        store.put(key, broken)
+        store.put(key, invalid)
     newest = {m: n.newest for m, n in store.known.pools.namings.items()}
     assert newest == {lives_tests.MODEL: 4}
 
 
-def test_a_record_that_stays_broken_is_logged_once(
-    store: lives_tests.Registry, monkeypatch: pytest.MonkeyPatch
+def test_persistently_invalid_record_is_logged_once(
+    store: lives_tests.RegistryWriter, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines: list[str] = []
     monkeypatch.setattr(knowledge.log, 'warning', lambda text, **_: lines.append(text))
@@ -192,8 +196,8 @@
     assert len(lines) == 2
 
 
-def test_broken_cache_events_are_left_out() -> None:
-    """One of them made the whole answer unreadable, again and again: the cache counted as down."""
+def test_invalid_cache_events_are_skipped() -> None:
+    """Guards against rejecting the whole response for one event: the cache counted as down."""
     events = [
         [7, '+', 's', 'aa', 800, 'm1'],
         [8, '*', 's', 'bb', 800, 'm1'],
@@ -202,33 +206,33 @@
         'no event',
         [11, '-', 's', 'ee', 0, 'm1'],
     ]
-    told = {'boot_epoch': 5, 'next_token': 12, 'lost': False, 'events': events}
-    read = records.decode_cache_events(json.dumps(told).encode())
-    assert [e.part for e in read.events] == ['aa', 'ee']
-    assert read.next_token == 12
-    assert read.lost
+    response = {'boot_epoch': 5, 'next_token': 12, 'lost': False, 'events': events}
+    decoded = records.decode_cache_events(json.dumps(response).encode())
+    assert [e.part for e in decoded.events] == ['aa', 'ee']
+    assert decoded.next_token == 12
+    assert decoded.lost
 
 
-def test_a_hundred_other_writers_take_nothing_from_the_replicas(
-    store: lives_tests.Registry, monkeypatch: pytest.MonkeyPatch
+def test_a_hundred_invalid_entries_do_not_affect_the_replicas(
+    store: lives_tests.RegistryWriter, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines: list[str] = []
     counted: list[str] = []
     monkeypatch.setattr(knowledge.log, 'warning', lambda text, **_: lines.append(text))
     store.known.on_refused = counted.append
     for _ in range(2):
-        for number, broken in enumerate([*BROKEN.values()] * 3):
-            store.put(f'{names.REPLICA_PREFIX}foreign-{number}', broken)
+        for number, invalid in enumerate([*INVALID.values()] * 3):
+            store.put(f'{names.REPLICA_PREFIX}foreign-{number}', invalid)
     assert store.list_used() == {ID, OTHER}
     assert set(store.known.pools.replicas) == {ID, OTHER}
-    assert len(lines) == len(BROKEN) * 3
-    assert counted == ['replica'] * len(BROKEN) * 6
+    assert len(lines) == len(INVALID) * 3
+    assert counted == ['replica'] * len(INVALID) * 6
 
 
-def test_an_engine_that_does_not_tell_its_weights_is_not_used(
-    store: lives_tests.Registry,
+def test_engine_that_does_not_report_its_weights_is_not_used(
+    store: lives_tests.RegistryWriter,
 ) -> None:
-    """It was sent requests without a precondition, under a salt of no weights."""
+    """Guards against requests without a weight precondition, and with a salt without a version."""
     store.record('i-3', models=[], address='10.0.0.3:8080')
     assert store.list_used() == {ID, OTHER}
     store.record('i-3', weights=3, address='10.0.0.3:8080')
@@ -252,7 +256,9 @@
     ],
 )
 @hypothesis.given(data=st.data())
-def test_whatever_comes_over_the_wire_is_read_or_refused(decode: Any, data: st.DataObject) -> None:
+def test_any_input_is_decoded_or_rejected_with_a_store_error(
+    decode: Any, data: st.DataObject
+) -> None:
     table = st.dictionaries(_FIELDS, _JSON, max_size=5)
     table |= st.dictionaries(_FIELDS, st.lists(table, max_size=2), max_size=5)
     text = data.draw(st.binary(max_size=40) | table.map(lambda v: json.dumps(v).encode()))
@@ -263,6 +269,6 @@
 @pytest.mark.parametrize(
     'field', [{'sequence': 1.0}, {'sequence': -1}, {'born': 'x'}, {'models': {}}, {'active': True}]
 )
-def test_a_broken_report_says_nothing(field: dict[str, Any]) -> None:
+def test_invalid_report_is_rejected(field: dict[str, Any]) -> None:
     with pytest.raises(exceptions.StoreError):
         records.decode_report(json.dumps({'sequence': 2, 'models': []} | field).encode())
--- a/passpier/tests/platform/settings_tests.py
+++ b/passpier/tests/platform/settings_tests.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: unknown fields are skipped, all findings come at once."""
+"""The platform's settings file: unknown fields are ignored, all findings are reported at once."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from passpier.platform import main, settings
 from passpier.routing import router
 
-GOOD = """
+VALID = """
 node_name = "edge-1"
 ip = "10.1.0.30"
 zone = "hall"
@@ -44,8 +44,8 @@
     return str(path)
 
 
-def test_a_good_file_becomes_options(tmp_path: pathlib.Path) -> None:
-    options = main.build_options(settings.load_settings(write(tmp_path, GOOD)))
+def test_valid_file_is_converted_to_options(tmp_path: pathlib.Path) -> None:
+    options = main.build_options(settings.load_settings(write(tmp_path, VALID)))
     assert options.name == 'edge-1'
     assert options.failure_domain == 'hall'
     assert options.key_bound == 4.0
@@ -53,15 +53,15 @@
     assert options.peer_port == 7340
 
 
-def test_addresses_can_be_written_to_the_registry(tmp_path: pathlib.Path) -> None:
-    """The library encodes text, but no subclass of it."""
-    options = main.build_options(settings.load_settings(write(tmp_path, GOOD)))
-    told = [options.ip, options.caller, options.ready, options.directory]
-    assert msgspec.json.decode(msgspec.json.encode(told)) == told
+def test_addresses_can_be_encoded_for_the_registry(tmp_path: pathlib.Path) -> None:
+    """The encoder accepts `str`, but no subclass of it."""
+    options = main.build_options(settings.load_settings(write(tmp_path, VALID)))
+    addresses = [options.ip, options.caller, options.ready, options.directory]
+    assert msgspec.json.decode(msgspec.json.encode(addresses)) == addresses
 
 
 @pytest.mark.parametrize(
-    ('before', 'after', 'place'),
+    ('before', 'after', 'location'),
     [
         ('"10.1.0.30"', '"here"', 'ip'),
         ('"10.1.0.30:8789"', '"10.1.0.30:0"', 'listen.ready'),
@@ -71,17 +71,17 @@
         ('node_name = "edge-1"', 'node_name = ""', 'node_name'),
     ],
 )
-def test_each_kind_of_fault_is_found(
-    tmp_path: pathlib.Path, before: str, after: str, place: str
+def test_each_kind_of_error_is_found(
+    tmp_path: pathlib.Path, before: str, after: str, location: str
 ) -> None:
     with pytest.raises(exceptions.FindingsError) as caught:
-        settings.load_settings(write(tmp_path, GOOD.replace(before, after)))
+        settings.load_settings(write(tmp_path, VALID.replace(before, after)))
     (finding,) = caught.value.findings
-    assert finding.place.endswith(place)
+    assert finding.place.endswith(location)
 
 
-def test_all_findings_come_at_once(tmp_path: pathlib.Path) -> None:
-    broken = GOOD.replace('"10.1.0.30:8782"', '"nowhere"').replace('zone = "hall"\n', '')
+def test_all_findings_are_reported_at_once(tmp_path: pathlib.Path) -> None:
+    broken = VALID.replace('"10.1.0.30:8782"', '"nowhere"').replace('zone = "hall"\n', '')
     with pytest.raises(exceptions.FindingsError) as caught:
         settings.load_settings(write(tmp_path, broken))
     places = [f.place for f in caught.value.findings]
@@ -91,20 +91,20 @@
 
 
 @pytest.mark.parametrize('text', ['no toml [', None])
-def test_an_unreadable_file_is_a_finding(tmp_path: pathlib.Path, text: str | None) -> None:
+def test_unreadable_file_is_a_finding(tmp_path: pathlib.Path, text: str | None) -> None:
     path = str(tmp_path / 'missing') if text is None else write(tmp_path, text)
     with pytest.raises(exceptions.FindingsError):
         settings.load_settings(path)
 
 
-def test_the_environment_is_checked_whole() -> None:
+def test_all_environment_variables_are_checked() -> None:
     assert main.read_environment({}) == (main.METRICS_PORT, 'info')
     with pytest.raises(exceptions.FindingsError) as caught:
         main.read_environment({main.METRICS_VARIABLE: '0', main.LEVEL_VARIABLE: 'loud'})
     assert len(caught.value.findings) == 2
 
 
-def test_a_signal_to_reload_is_safe_before_the_rest_is_loaded(
+def test_sighup_is_ignored_before_the_main_module_is_imported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     handlers = []
@@ -125,8 +125,8 @@
     assert handlers == [('passpier.platform.main', signal.SIG_IGN)]
 
 
-def test_a_signal_that_comes_when_the_loop_is_closed_raises_nothing() -> None:
-    """A second SIGTERM in the last milliseconds of a process."""
+def test_sigterm_after_the_loop_is_closed_raises_nothing() -> None:
+    """A second SIGTERM may arrive in the last milliseconds of a process."""
     loop = asyncio.new_event_loop()
     loop.close()
     process = mock.create_autospec(router.Router, instance=True)
@@ -134,13 +134,13 @@
 
 
 @pytest.mark.parametrize('number', [signal.SIGILL, signal.SIGSEGV, signal.SIGABRT])
-def test_a_process_that_ends_in_native_code_says_where(number: signal.Signals) -> None:
+def test_crash_in_native_code_writes_a_traceback(number: signal.Signals) -> None:
     program = (
         'import os, runpy\n'
         "runpy.run_module('passpier.platform.__main__', run_name='loading')\n"
         f'os.kill(os.getpid(), {int(number)})\n'
     )
-    ended = subprocess.run([sys.executable, '-c', program], capture_output=True, check=False)
-    assert ended.returncode == -number
-    assert b'Fatal Python error' in ended.stderr
-    assert b'line 3' in ended.stderr
+    finished = subprocess.run([sys.executable, '-c', program], capture_output=True, check=False)
+    assert finished.returncode == -number
+    assert b'Fatal Python error' in finished.stderr
+    assert b'line 3' in finished.stderr
--- a/passpier/tests/platform/standins_tests.py
+++ b/passpier/tests/platform/standins_tests.py
@@ -1,4 +1,4 @@
-"""The stand-ins' own faults: replicas that start again, entries of other writers."""
+"""Faults that the stand-ins simulate: restarting replicas, entries of other writers."""
 
 from __future__ import annotations
 
@@ -10,71 +10,71 @@
 from passpier.clients import connections, exchanges
 from passpier.platform import dialect, names
 from passpier.standins.platform import deployment, foreign, replica
-from passpier.tests.platform import scenes
+from passpier.tests.platform import harness
 
 ORDER = {'model': deployment.MODEL, 'version': 2, 'holder': 'vm-0', 'fencing_token': 1}
 
 
-def test_a_replica_that_starts_again_knows_nothing_of_before() -> None:
-    async def scene() -> None:
+def test_restarted_replica_has_no_previous_state() -> None:
+    async def check() -> None:
         running = deployment.Deployment()
         pool = connections.Pool()
         engines = dialect.Engines(pool)
         await running.start(routers=0)
-        known = running.replicas['llm-0']
-        known.work = 60.0
-        before = (known.address, known.born)
+        stand_in = running.replicas['llm-0']
+        stand_in.work = 60.0
+        before = (stand_in.address, stand_in.born)
         prompt = [*deployment.make_prompt(random.Random(1)), (names.SALT, 's')]
-        known.cache_prompt('s', prompt[2][1])
-        asking = asyncio.ensure_future(
-            running.ask_at(known.address, '/resume/x', 'r1', headers=prompt)
+        stand_in.cache_prompt('s', prompt[2][1])
+        pending = asyncio.ensure_future(
+            running.ask_at(stand_in.address, '/resume/x', 'r1', headers=prompt)
         )
-        await scenes.wait_for(lambda: known.active == 1)
+        await harness.wait_for(lambda: stand_in.active == 1)
         running.restart_replica('llm-0', version=3)
         try:
-            await asking
+            await pending
         except exchanges.ExchangeError as error:
             assert error.fault is exchanges.Fault.CLOSED
         else:
-            raise AssertionError('what ran was not cut off')
-        report = await engines.report(known.address, known.id)
+            raise AssertionError('the running request was not interrupted')
+        report = await engines.report(stand_in.address, stand_in.id)
         assert (report.orders, report.running, report.versions) == (0, 0, {deployment.MODEL: 3})
-        changes = await engines.read_cache_changes(known.address, 0, 0.0)
-        assert (changes.epoch, changes.changes) == (known.born, ())
-        assert known.address == before[0]
-        assert known.born > before[1]
+        changes = await engines.read_cache_changes(stand_in.address, 0, 0.0)
+        assert (changes.epoch, changes.changes) == (stand_in.born, ())
+        assert stand_in.address == before[0]
+        assert stand_in.born > before[1]
         entry = json.loads(base64.b64decode(running.meta.items['servers/llm-0'].value))
-        assert entry['born'] == known.born
+        assert entry['born'] == stand_in.born
         pool.close()
         await running.stop()
 
-    asyncio.run(scene())
+    asyncio.run(check())
 
 
-def test_a_load_ends_with_the_life_that_began_it() -> None:
-    async def scene() -> None:
+def test_weight_load_ends_with_the_process_that_began_it() -> None:
+    async def check() -> None:
         running = deployment.Deployment()
         await running.start(routers=0)
-        known = running.replicas['llm-0']
-        known.load = 0.05
-        assert (await order(running, known)).head.status == 202
+        stand_in = running.replicas['llm-0']
+        stand_in.load = 0.05
+        assert (await order(running, stand_in)).head.status == 202
         running.crash_replica('llm-0')
         running.restart_replica('llm-0')
         await asyncio.sleep(0.1)
-        assert (known.version, known.orders) == (1, 0)
+        assert (stand_in.version, stand_in.orders) == (1, 0)
         await running.stop()
 
-    asyncio.run(scene())
+    asyncio.run(check())
 
 
-async def order(running: deployment.Deployment, known: replica.Replica) -> exchanges.Answer:
-    headers = [('Host', known.address)]
+async def order(running: deployment.Deployment, stand_in: replica.Replica) -> exchanges.Answer:
+    headers = [('Host', stand_in.address)]
     body = json.dumps(ORDER).encode()
     request = exchanges.Request('POST', names.ORDER_PATH, headers, body)
-    return await running.pool.fetch(known.address, request, 1.0)
+    return await running.pool.fetch(stand_in.address, request, 1.0)
 
 
-def test_other_writers_spoil_each_field() -> None:
+def test_other_writers_cover_each_field() -> None:
     entry = replica.Replica('r', 'llm', 'zone-0', deployment.MODEL).render_entry()
     values = foreign.build_values(entry)
     assert {f'without {field}' for field in entry} < set(values)
--- a/passpier/tests/platform/suspended_tests.py
+++ b/passpier/tests/platform/suspended_tests.py
@@ -1,6 +1,7 @@
 """A router whose VM is suspended for seconds, which the kernel's monotonic clock does not count.
 
-Until it has learnt anew, it may not act on what it knew: others have gone on meanwhile.
+After a suspension the router must not act on its old state before it is refreshed, because the rest
+of the fleet has moved on.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from passpier.core import shares
 from passpier.standins import suspension
 from passpier.standins.platform import deployment
-from passpier.tests.platform import scenes
+from passpier.tests.platform import harness
 
 Check = Callable[[deployment.Deployment], Awaitable[None]]
 
-SUSPENDED = [2.5, 5.0, 20.0]
-"""Seconds, all longer than keys, leases and connections last here."""
+SUSPENSIONS = [2.5, 5.0, 20.0]
+"""Seconds, all longer than keys, leases and connections are valid in these tests."""
 
 
 @pytest.fixture(name='vm')
@@ -28,7 +29,7 @@
     return suspension.Suspension(monkeypatch.setattr)
 
 
-def play(check: Check) -> None:
+def run_check(check: Check) -> None:
     async def run() -> None:
         async with deployment.running() as running:
             await check(running)
@@ -36,21 +37,21 @@
     clocks.run(asyncio.wait_for(run(), 60))
 
 
-async def ask_slowly(
+async def start_slow_request(
     running: deployment.Deployment, patience_ms: int
 ) -> asyncio.Task[deployment.Reply]:
-    """Return what waits for an answer that takes 4 seconds, once a replica is at work on it."""
-    scenes.set_work(running, 4.0)
-    asking = asyncio.ensure_future(running.ask('/slow/x', id='slow', patience_ms=patience_ms))
-    await scenes.wait_for(lambda: bool(running.list_runs('slow')))
-    return asking
+    """Start a request that takes 4 seconds; return its task once a replica works on it."""
+    harness.set_processing_time(running, 4.0)
+    pending = asyncio.ensure_future(running.ask('/slow/x', id='slow', patience_ms=patience_ms))
+    await harness.wait_for(lambda: bool(running.list_runs('slow')))
+    return pending
 
 
-@pytest.mark.parametrize('seconds', SUSPENDED)
-def test_keys_are_not_trusted_before_they_are_read_again(
+@pytest.mark.parametrize('seconds', SUSPENSIONS)
+def test_keys_are_not_accepted_before_they_are_read_again(
     vm: suspension.Suspension, seconds: float
 ) -> None:
-    """The reading seemed to be as fresh as before, and a key that was taken away was let in."""
+    """Guards against configuration that still seems fresh, so that a revoked key is accepted."""
 
     async def check(running: deployment.Deployment) -> None:
         running.faults.down = True
@@ -60,21 +61,21 @@
         assert not running.list_runs('after')
         running.faults.down = False
 
-    play(check)
+    run_check(check)
 
 
-@pytest.mark.parametrize('seconds', SUSPENDED)
-def test_the_right_to_give_orders_has_lapsed(vm: suspension.Suspension, seconds: float) -> None:
+@pytest.mark.parametrize('seconds', SUSPENSIONS)
+def test_right_to_give_orders_has_expired(vm: suspension.Suspension, seconds: float) -> None:
     async def check(running: deployment.Deployment) -> None:
         holder = running.routers[0].rollouts.holder
-        await scenes.wait_for(lambda: holder.may_order(clocks.now()))
+        await harness.wait_for(lambda: holder.may_order(clocks.now()))
         vm.happen(seconds)
         assert not holder.may_order(clocks.now())
 
-    play(check)
+    run_check(check)
 
 
-def test_units_of_a_limit_are_not_spent(vm: suspension.Suspension) -> None:
+def test_shares_of_a_limit_are_not_spent(vm: suspension.Suspension) -> None:
     book = shares.ShareBook('i0')
     holders = {f'i{n}': shares.Holder(f'vm-{n}', 'd') for n in range(3)}
     limits = {'acme': shares.Limit(9, 10**9)}
@@ -86,7 +87,7 @@
     assert not book.acquire('acme', clocks.now())
 
 
-def test_a_peer_that_was_alive_before_is_not_taken_for_alive(vm: suspension.Suspension) -> None:
+def test_peers_are_not_assumed_alive(vm: suspension.Suspension) -> None:
     async def check(running: deployment.Deployment) -> None:
         running.add_router('vm-1', 'zone-1')
         await running.wait_ready()
@@ -95,34 +96,34 @@
         vm.happen(20.0)
         assert len(membership.list_alive(clocks.now())) == 1
 
-    play(check)
+    run_check(check)
 
 
-def test_a_request_whose_time_is_over_is_answered_at_once(vm: suspension.Suspension) -> None:
-    """It was worked on for as long again as it had left before."""
+def test_request_past_its_deadline_gets_an_immediate_response(vm: suspension.Suspension) -> None:
+    """Guards against deadlines that ignore the suspension."""
 
     async def check(running: deployment.Deployment) -> None:
-        asking = await ask_slowly(running, patience_ms=8000)
+        pending = await start_slow_request(running, patience_ms=8000)
         vm.happen(9.0)
-        # Else it has its answer after the 4 seconds.
-        assert (await asking).status == 504
+        # Without the suspension, the response arrives after 4 seconds.
+        assert (await pending).status == 504
 
-    play(check)
+    run_check(check)
 
 
-def test_a_stop_ends_when_its_time_is_over(vm: suspension.Suspension) -> None:
+def test_planned_stop_ends_once_its_time_is_over(vm: suspension.Suspension) -> None:
     async def check(running: deployment.Deployment) -> None:
-        asking = await ask_slowly(running, patience_ms=9000)
+        pending = await start_slow_request(running, patience_ms=9000)
         (process,) = running.routers
         process.begin_stop()
         vm.happen(process.options.stop_bound)
-        assert (await asking).status == 502
+        assert (await pending).status == 502
         await running.wait_ended(process)
 
-    play(check)
+    run_check(check)
 
 
-def test_resting_connections_are_closed_and_the_suspension_is_told(
+def test_idle_connections_are_closed_and_the_suspension_is_reported(
     vm: suspension.Suspension, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -138,6 +139,6 @@
         body, _ = process.counters.render([])
         assert b'passpier_suspended_seconds_total' in body
 
-    play(check)
-    (told,) = [r.__dict__ for r in caplog.records if r.message == 'resumed']
-    assert told['suspended_for'] == pytest.approx(0.3, abs=0.1)
+    run_check(check)
+    (line,) = [r.__dict__ for r in caplog.records if r.message == 'resumed']
+    assert line['suspended_for'] == pytest.approx(0.3, abs=0.1)
--- a/passpier/tests/platform/throttling_tests.py
+++ b/passpier/tests/platform/throttling_tests.py
@@ -1,7 +1,7 @@
-"""Replicas that name how many requests a second they take from all routers together.
+"""Replicas that announce how many requests per second they accept from all routers together.
 
-Seen: a replica that had named a limit of 1 a second got 20 requests within 4 s from routers that
-had passed on such an answer, where 11 are tolerated.
+Guards against routers that ignore the limit: a replica with a limit of 1 per second got 20 requests
+within 4 s from routers that had received a response with that limit; 11 are tolerated.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from passpier.clients import connections, exchanges
 from passpier.core import backpressure
 from passpier.standins.platform import deployment, promises, replica
-from passpier.tests.platform import scenes
+from passpier.tests.platform import harness
 
 
 async def send_steadily(
     running: deployment.Deployment, path: str, seconds: float, rate: float, rng: random.Random
 ) -> list[deployment.Reply]:
-    """Send requests to any router, as many a second on average."""
-    asked = []
-    ends_at = clocks.now() + seconds
-    while clocks.now() < ends_at:
+    """Send requests to random routers, at an average `rate` per second."""
+    requests = []
+    deadline = clocks.now() + seconds
+    while clocks.now() < deadline:
         entry = rng.randrange(len(running.routers))
-        asked.append(asyncio.ensure_future(running.ask(path, entry)))
+        requests.append(asyncio.ensure_future(running.ask(path, entry)))
         await asyncio.sleep(rng.expovariate(rate))
-    return await asyncio.gather(*asked)
+    return await asyncio.gather(*requests)
 
 
-async def tell_all(running: deployment.Deployment, path: str) -> float:
-    """Have all routers hear from all replicas; return since when requests count."""
+async def announce_limits(running: deployment.Deployment, path: str) -> float:
+    """Make all routers learn the limits of all replicas; return the time from which they apply."""
     for _ in range(2 * len(running.replicas)):
         entries = range(len(running.routers))
         await asyncio.gather(*(running.ask(path, entry) for entry in entries))
@@ -42,46 +42,46 @@
 
 @pytest.mark.parametrize('limit', [0.0, 1.0, 1.7, 6.0])
 def test_a_replica_that_names_a_limit_gets_no_more_from_all_routers(limit: float) -> None:
-    """LIMIT: no router knew of it, and each sent what it would have sent anyway."""
+    """LIMIT: routers must not send what they would have sent without the limit."""
 
     async def check(running: deployment.Deployment) -> None:
         running.add_replica(replica.Replica('app-2', 'app', 'zone-0'))
         await running.wait_ready()
         limited = running.replicas['app-0']
         limited.faults.limit = limit
-        since = await tell_all(running, '/safe/x')
+        since = await announce_limits(running, '/safe/x')
         replies = await send_steadily(running, '/safe/x', 8.0, 40.0, random.Random(42))
         arrived = [a.at for a in limited.arrivals if a.at >= since]
         assert promises.find_over_limit(arrived, limit) == []
         assert {r.status for r in replies} == {200}
-        # What it takes it also gets.
+        # The limit is also used, not just respected.
         assert len(arrived) >= (clocks.now() - since) * limit * 0.5
 
-    scenes.play(check, routers=3)
+    harness.run_check(check, routers=3)
 
 
-def test_while_all_replicas_are_at_their_limits_callers_are_refused_at_once() -> None:
+def test_requests_are_rejected_at_once_while_all_replicas_are_at_their_limits() -> None:
     async def check(running: deployment.Deployment) -> None:
-        for known in running.replicas.values():
-            known.faults.limit = 0.0
+        for stand_in in running.replicas.values():
+            stand_in.faults.limit = 0.0
         await running.ask('/safe/x')
         await running.ask('/safe/x')
-        before = sum(known.asked for known in running.replicas.values())
+        before = sum(stand_in.asked for stand_in in running.replicas.values())
         began = clocks.now()
         replies = [await running.ask('/safe/x') for _ in range(10)]
         assert {r.status for r in replies} == {503}
         assert clocks.now() - began < 1.0
         assert all(0.0 < float(r.headers.get('Retry-After') or 0) <= 10.0 for r in replies)
-        assert sum(known.asked for known in running.replicas.values()) == before
+        assert sum(stand_in.asked for stand_in in running.replicas.values()) == before
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_limit_ends_when_answers_no_longer_name_it() -> None:
+def test_limit_ends_when_responses_no_longer_state_it() -> None:
     async def check(running: deployment.Deployment) -> None:
         limited = running.replicas['app-0']
         limited.faults.limit = 4.0
-        await tell_all(running, '/safe/x')
+        await announce_limits(running, '/safe/x')
         limited.faults.limit = None
         await send_steadily(running, '/safe/x', 2.0, 20.0, random.Random(43))
         before = limited.asked
@@ -89,53 +89,53 @@
         assert limited.asked - before > 2.0 * 40.0 * 0.25
         assert all(r.pools.replicas['app-0'].throttle is None for r in running.routers)
 
-    scenes.play(check, routers=2)
+    harness.run_check(check, routers=2)
 
 
 @pytest.mark.parametrize('fault', ['fail', 'refuse', 'cut', 'lie', 'misdirect'])
-def test_a_limit_is_learnt_from_an_answer_of_any_kind(fault: str) -> None:
+def test_limit_is_learnt_from_any_kind_of_response(fault: str) -> None:
     async def check(running: deployment.Deployment) -> None:
         (router,) = running.routers
-        for known in running.replicas.values():
-            known.faults.limit = 3.0
+        for stand_in in running.replicas.values():
+            stand_in.faults.limit = 3.0
             if fault == 'misdirect':
-                known.version = 2
+                stand_in.version = 2
             else:
-                setattr(known.faults, fault, 2)
+                setattr(stand_in.faults, fault, 2)
         with contextlib.suppress(exchanges.ExchangeError):
-            await running.ask('/stream/x', headers=scenes.PROMPT)
+            await running.ask('/stream/x', headers=harness.PROMPT_HEADERS)
         limited = [r for r in router.pools.replicas.values() if r.throttle is not None]
         assert limited
         assert all(r.name.startswith('llm') for r in limited)
 
-    scenes.play(check)
+    harness.run_check(check)
 
 
-def test_a_request_that_waited_for_its_connection_is_counted(
+def test_limit_announced_during_connect_applies_to_the_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was placed before the limit was known and is sent after."""
+    """The request was placed before the limit was known, and is sent afterwards."""
 
     async def check(running: deployment.Deployment) -> None:
         (router,) = running.routers
         pool = router.adapter.pool
         connect = pool._connect
-        held = asyncio.Event()
+        allowed = asyncio.Event()
 
-        async def connect_late(address: str) -> connections.Connection:
-            await held.wait()
+        async def connect_when_allowed(address: str) -> connections.Connection:
+            await allowed.wait()
             return await connect(address)
 
-        for known in running.replicas.values():
-            known.faults.limit = 0.0
-        monkeypatch.setattr(pool, '_connect', connect_late)
-        asking = [asyncio.ensure_future(running.ask('/safe/x')) for _ in range(8)]
+        for stand_in in running.replicas.values():
+            stand_in.faults.limit = 0.0
+        monkeypatch.setattr(pool, '_connect', connect_when_allowed)
+        pending = [asyncio.ensure_future(running.ask('/safe/x')) for _ in range(8)]
         await asyncio.sleep(0.1)
         for upstream in router.pools.replicas.values():
             router.pools.learn_signal(upstream.life, backpressure.Signal(limit=0.0))
-        held.set()
-        replies = await asyncio.gather(*asking)
+        allowed.set()
+        replies = await asyncio.gather(*pending)
         assert {r.status for r in replies} == {503}
-        assert not any(known.asked for known in running.replicas.values())
+        assert not any(stand_in.asked for stand_in in running.replicas.values())
 
-    scenes.play(check)
+    harness.run_check(check)
