--- a/passpier/tests/platform/lives_tests.py
+++ b/passpier/tests/platform/lives_tests.py
@@ -90,30 +90,30 @@
 
 def test_restarted_replica_has_an_empty_cache(store: RegistryWriter) -> None:
     job = make_job()
-    cache = store.known.pools.cache
-    incarnation = cache.get_incarnation(ID)
-    cache.correct(ID, incarnation, job.chain, 0, len(job.chain), clocks.now())
-    assert cache.match(ID, job.chain, clocks.now()).blocks
+    replica_pools = store.known.pools
+    incarnation = replica_pools.cache.get_incarnation(ID)
+    replica_pools.cache.correct(ID, incarnation, job.chain, 0, len(job.chain), clocks.now())
+    assert replica_pools.cache.match(ID, job.chain, clocks.now()).blocks
     store.record(weights=3, born=2000)
-    assert not cache.match(ID, job.chain, clocks.now()).blocks
+    assert not replica_pools.cache.match(ID, job.chain, clocks.now()).blocks
 
 
 def test_state_of_the_previous_process_is_dropped(store: RegistryWriter) -> None:
     """Guards against keeping pauses, failure counts and learnt rates of the previous process."""
-    pools = store.known.pools
-    before = pools.get(ID)
+    replica_pools = store.known.pools
+    before = replica_pools.get(ID)
     before.seconds_per_token = 1.0
-    pools.silent.add(ID)
+    replica_pools.silent.add(ID)
     for _ in range(3):
-        pools.ejector.note_failure(ID, clocks.now())
+        replica_pools.ejector.note_failure(ID, clocks.now())
     before.paused_until = clocks.now() + 100.0
     store.record(weights=3, born=2000)
     now = clocks.now()
-    after = pools.get(ID)
+    after = replica_pools.get(ID)
     assert after.seconds_per_token < 1.0
     assert after.paused_until < now
-    assert not pools.silent
-    assert not pools.ejector.is_ejected(ID, now)
+    assert not replica_pools.silent
+    assert not replica_pools.ejector.is_ejected(ID, now)
 
 
 def test_leaving_of_the_previous_process_does_not_apply(store: RegistryWriter) -> None:
@@ -141,13 +141,13 @@
 
 
 def test_state_of_the_same_process_is_kept(store: RegistryWriter) -> None:
-    pools = store.known.pools
-    pools.get(ID).seconds_per_token = 1.0
-    pools.pause(pools.get(ID).life, pauses.Pause.FULL, 10.0, 'full')
+    replica_pools = store.known.pools
+    replica_pools.get(ID).seconds_per_token = 1.0
+    replica_pools.pause(replica_pools.get(ID).life, pauses.Pause.FULL, 10.0, 'full')
     store.record(weights=4)
-    assert pools.get(ID).seconds_per_token == 1.0
-    assert pools.get(ID).paused_until > clocks.now()
-    assert pools.get(ID).weight_version == '4'
+    assert replica_pools.get(ID).seconds_per_token == 1.0
+    assert replica_pools.get(ID).paused_until > clocks.now()
+    assert replica_pools.get(ID).weight_version == '4'
 
 
 def test_replica_restarted_during_a_rollout_gets_the_newest_weights() -> None:
