--- a/passpier/clients/connections.py
+++ b/passpier/clients/connections.py
@@ -110,9 +110,9 @@
         """Close the connection immediately."""
         self.stream.close()
 
-    def rest(self, head: exchanges.Head) -> None:
+    def release(self, head: exchanges.Head) -> None:
         """Return the connection to its pool; `head` may state its idle timeout."""
-        self._pool.keep(self, head)
+        self._pool.release(self, head)
 
     async def _read(self) -> None:
         while True:
@@ -127,7 +127,7 @@
                 return
             if not self.exchange.heard:
                 self._pool.note_response(self)
-            await self.exchange.take(data)
+            await self.exchange.feed(data)
 
     def _note_end(self) -> None:
         if self.exchange is None:
@@ -204,8 +204,8 @@
             if exchange is not None:
                 exchange.close()
 
-    def keep(self, connection: Connection, head: exchanges.Head) -> None:
-        """Keep an idle connection for the next exchange."""
+    def release(self, connection: Connection, head: exchanges.Head) -> None:
+        """Return a connection to the pool for the next exchange."""
         limit = _parse_idle_limit(head.get('keep-alive'))
         connection.idle_limit = DEFAULT_IDLE_LIMIT if limit is None else limit
         connection.idle_since = clocks.now()
--- a/passpier/clients/exchanges.py
+++ b/passpier/clients/exchanges.py
@@ -113,7 +113,7 @@
     def close(self) -> None:
         """Close the connection immediately."""
 
-    def rest(self, head: Head) -> None:
+    def release(self, head: Head) -> None:
         """Return the connection to its pool; `head` may state its idle timeout."""
 
 
@@ -180,13 +180,13 @@
         self._drained.set()
         return part
 
-    async def read_all(self, most: int = 16 * 1024 * 1024) -> Answer:
-        """Read the complete response; its body may have at most `most` bytes."""
+    async def read_all(self, max_bytes: int = 16 * 1024 * 1024) -> Answer:
+        """Read the complete response; its body may have at most `max_bytes` bytes."""
         head = await self.read_head()
         body = bytearray()
         while (part := await self.read()) is not None:
             body += part
-            if len(body) > most:
+            if len(body) > max_bytes:
                 raise ExchangeError(Fault.MALFORMED, 'the response is too long', True)
         return Answer(head, bytes(body))
 
@@ -199,7 +199,7 @@
         if not self._head.done():
             self._head.cancel()
 
-    async def take(self, data: bytes) -> None:
+    async def feed(self, data: bytes) -> None:
         """Parse received bytes; wait while the reader of the body is far behind."""
         self.heard = True
         try:
@@ -295,7 +295,7 @@
         )
         if reusable:
             assert self._head.done()
-            self._connection.rest(self._head.result())
+            self._connection.release(self._head.result())
         else:
             self._connection.close()
 
--- a/passpier/platform/records.py
+++ b/passpier/platform/records.py
@@ -163,8 +163,8 @@
 
     salt: str
     part: str
-    kept: _Count
-    """Tokens of the segment that are now cached."""
+    cached_tokens: _Count
+    """Tokens of the segment that are cached after the event."""
 
     model: str
 
--- a/passpier/tests/platform/departures_tests.py
+++ b/passpier/tests/platform/departures_tests.py
@@ -82,8 +82,8 @@
         assert router.pools.replicas['app-0'].leaving
         leaving.faults.leaves = False
         running.restart_replica('app-0')
-        life = lives.Life('app-0', leaving.born)
-        await harness.wait_for(lambda: router.pools.find(life) is not None)
+        process = lives.Life('app-0', leaving.born)
+        await harness.wait_for(lambda: router.pools.find(process) is not None)
         before = leaving.asked
         for _ in range(6):
             await running.ask('/safe/x')
--- a/passpier/tests/platform/fleet_tests.py
+++ b/passpier/tests/platform/fleet_tests.py
@@ -40,8 +40,8 @@
     address = running.routers[entry].options.directory
     target = f'/resolve?name=x&region=here&zone={zone}'
     request = exchanges.Request('GET', target, [('Host', address)])
-    answer = await running.pool.fetch(address, request, 1.0)
-    body = json.loads(answer.body)
+    response = await running.pool.fetch(address, request, 1.0)
+    body = json.loads(response.body)
     assert 0 < body['ttl_s'] <= 5
     addresses: list[str] = body['addresses']
     return addresses
--- a/passpier/tests/platform/layout_tests.py
+++ b/passpier/tests/platform/layout_tests.py
@@ -34,14 +34,14 @@
 
 
 def test_platform_names_are_used_only_in_the_adapter() -> None:
-    known = list_wire_names()
-    assert names.REQUEST_ID in known
+    wire_names = list_wire_names()
+    assert names.REQUEST_ID in wire_names
     for path in sorted(ROOT.rglob('*.py')):
         relative = path.relative_to(ROOT).as_posix()
         if relative.startswith(tuple(f'{a}/' for a in ALLOWED)):
             continue
         text = path.read_text()
-        found = {name for name in known if name in text}
+        found = {name for name in wire_names if name in text}
         assert not found, f'{relative}: {found}'
 
 
--- a/passpier/tests/platform/lives_tests.py
+++ b/passpier/tests/platform/lives_tests.py
@@ -32,7 +32,7 @@
     """Applies entries to the registry state of a router, each at the next revision."""
 
     def __init__(self) -> None:
-        self.known = knowledge.Knowledge(dialect.Records(), pools.Pools(10.0), 5.0)
+        self.state = knowledge.Knowledge(dialect.Records(), pools.Pools(10.0), 5.0)
         self.revision = 0
         self.put(names.CONFIGURATION_KEY, {'version': 1, 'services': SERVICES})
 
@@ -41,13 +41,13 @@
         self.revision += 1
         item = registry.Item(key, data, self.revision)
         now = clocks.now()
-        self.known.take_changes(registry.Changes((item,), self.revision, now, now), 0.0, now)
+        self.state.take_changes(registry.Changes((item,), self.revision, now, now), 0.0, now)
 
     def record(self, id: str = ID, **fields: Any) -> None:
         self.put(names.REPLICA_PREFIX + id, make_entry(**fields))
 
     def list_used(self, service: str = 'llm') -> set[str]:
-        return {r.name for r in self.known.pools.list_serving(service)}
+        return {r.name for r in self.state.pools.list_serving(service)}
 
 
 def make_entry(weights: int = 1, **fields: Any) -> dict[str, Any]:
@@ -85,12 +85,12 @@
     to load weights, because it seemed to have the newest ones.
     """
     store.record(weights=2, born=2000)
-    assert store.known.pools.get(ID).weight_version == '2'
+    assert store.state.pools.get(ID).weight_version == '2'
 
 
 def test_restarted_replica_has_an_empty_cache(store: RegistryWriter) -> None:
     job = make_job()
-    replica_pools = store.known.pools
+    replica_pools = store.state.pools
     incarnation = replica_pools.cache.get_incarnation(ID)
     replica_pools.cache.correct(ID, incarnation, job.chain, 0, len(job.chain), clocks.now())
     assert replica_pools.cache.match(ID, job.chain, clocks.now()).blocks
@@ -100,7 +100,7 @@
 
 def test_state_of_the_previous_process_is_dropped(store: RegistryWriter) -> None:
     """Guards against keeping pauses, failure counts and learnt rates of the previous process."""
-    replica_pools = store.known.pools
+    replica_pools = store.state.pools
     before = replica_pools.get(ID)
     before.seconds_per_token = 1.0
     replica_pools.silent.add(ID)
@@ -132,16 +132,16 @@
 
 def test_restarted_replica_is_reached_at_its_new_address(store: RegistryWriter) -> None:
     store.record(weights=3, born=2000, address='10.0.0.2:8080')
-    assert store.known.pools.get(ID).address == '10.0.0.2:8080'
+    assert store.state.pools.get(ID).address == '10.0.0.2:8080'
 
 
 def test_start_time_may_be_earlier_after_a_clock_change(store: RegistryWriter) -> None:
     store.record(weights=2, born=500)
-    assert store.known.pools.get(ID).weight_version == '2'
+    assert store.state.pools.get(ID).weight_version == '2'
 
 
 def test_state_of_the_same_process_is_kept(store: RegistryWriter) -> None:
-    replica_pools = store.known.pools
+    replica_pools = store.state.pools
     replica_pools.get(ID).seconds_per_token = 1.0
     replica_pools.pause(replica_pools.get(ID).life, pauses.Pause.FULL, 10.0, 'full')
     store.record(weights=4)
--- a/passpier/tests/platform/records_tests.py
+++ b/passpier/tests/platform/records_tests.py
@@ -86,7 +86,7 @@
     """Guards against using the previous entry of the key, or defaults for invalid fields."""
     store.put(names.REPLICA_PREFIX + ID, INVALID[name])
     assert store.list_used() == {OTHER}
-    assert set(store.known.pools.replicas) == {OTHER}
+    assert set(store.state.pools.replicas) == {OTHER}
 
 
 @pytest.mark.parametrize('name', INVALID)
@@ -94,7 +94,7 @@
     store: lives_tests.RegistryWriter, name: str
 ) -> None:
     """Entries that vanish during a registry outage may return, but this one was overwritten."""
-    store.known.catalogue.note_disturbance(1e12)
+    store.state.catalogue.note_disturbance(1e12)
     store.put(names.REPLICA_PREFIX + ID, INVALID[name])
     assert store.list_used() == {OTHER}
 
@@ -118,17 +118,17 @@
 ) -> None:
     store.record('i-3', service='soon', address='10.0.0.3:8080')
     assert not store.list_used('soon')
-    assert 'i-3' not in {s.id for s in store.known.pools.list_states()}
+    assert 'i-3' not in {s.id for s in store.state.pools.list_states()}
     services = [*lives_tests.SERVICES, lives_tests.SERVICES[0] | {'name': 'soon'}]
     store.put(names.CONFIGURATION_KEY, {'version': 2, 'services': services})
     assert store.list_used('soon') == {'i-3'}
-    assert 'i-3' in {s.id for s in store.known.pools.list_states()}
+    assert 'i-3' in {s.id for s in store.state.pools.list_states()}
 
 
 def test_replica_of_a_removed_service_is_not_used(store: lives_tests.RegistryWriter) -> None:
     store.put(names.CONFIGURATION_KEY, {'version': 2, 'services': lives_tests.SERVICES[1:]})
     assert not store.list_used()
-    assert not store.known.pools.list_states()
+    assert not store.state.pools.list_states()
 
 
 def test_two_entries_may_have_the_same_address(store: lives_tests.RegistryWriter) -> None:
@@ -163,7 +163,7 @@
     store.put(names.REPLICA_PREFIX + ID, data)
     store.put(names.REPLICA_PREFIX + 'i-3', data[:cut])
     assert OTHER in store.list_used()
-    assert all(r.slots > 0 and r.address for r in store.known.pools.replicas.values())
+    assert all(r.slots > 0 and r.address for r in store.state.pools.replicas.values())
 
 
 def test_invalid_releases_are_ignored(store: lives_tests.RegistryWriter) -> None:
@@ -179,7 +179,7 @@
         {'model': 'another', 'version': 5},
     ):
         store.put(key, invalid)
-    newest = {m: n.newest for m, n in store.known.pools.namings.items()}
+    newest = {m: n.newest for m, n in store.state.pools.namings.items()}
     assert newest == {lives_tests.MODEL: 4}
 
 
@@ -219,12 +219,12 @@
     lines: list[str] = []
     counted: list[str] = []
     monkeypatch.setattr(knowledge.log, 'warning', lambda text, **_: lines.append(text))
-    store.known.on_refused = counted.append
+    store.state.on_refused = counted.append
     for _ in range(2):
         for number, invalid in enumerate([*INVALID.values()] * 3):
             store.put(f'{names.REPLICA_PREFIX}foreign-{number}', invalid)
     assert store.list_used() == {ID, OTHER}
-    assert set(store.known.pools.replicas) == {ID, OTHER}
+    assert set(store.state.pools.replicas) == {ID, OTHER}
     assert len(lines) == len(INVALID) * 3
     assert counted == ['replica'] * len(INVALID) * 6
 
--- a/passpier/tests/platform/soak_tests.py
+++ b/passpier/tests/platform/soak_tests.py
@@ -260,12 +260,12 @@
 
 
 def test_proxy_delays_data_during_a_cut_and_delivers_it_later() -> None:
-    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(await reader.readline())
         writer.close()
 
     async def run() -> None:
-        server = await asyncio.start_server(answer, '127.0.0.1', 0)
+        server = await asyncio.start_server(echo, '127.0.0.1', 0)
         link = proxy.Proxy(f'127.0.0.1:{server.sockets[0].getsockname()[1]}')
         await link.start()
         link.cut = {proxy.Way.BACK}
