--- a/passpier/commands/main.py
+++ b/passpier/commands/main.py
@@ -87,9 +87,9 @@
 
     def entries(self, account: str) -> None:
         """Show the addresses that an account should use."""
-        found = self._call('entries', account=account)
-        lines = [f'{e["address"]}  {e["failure_domain"]}  {e["incarnation"]}' for e in found]
-        self._show(found, '\n'.join(lines))
+        ranked = self._call('entries', account=account)
+        lines = [f'{e["address"]}  {e["failure_domain"]}  {e["incarnation"]}' for e in ranked]
+        self._show(ranked, '\n'.join(lines))
 
     def explain(self, request: str, logs: str = '') -> None:
         """Show why a request went where it went: from a daemon, or from log files (a pattern)."""
