--- a/passpier/standins/fleet/__init__.py
+++ b/passpier/standins/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet without sockets: routers' decisions, engines, traffic, a virtual clock."""
+"""A simulated fleet without sockets: routing decisions, engines, traffic, and a virtual clock."""
--- a/passpier/standins/fleet/model.py
+++ b/passpier/standins/fleet/model.py
@@ -1,8 +1,9 @@
-"""Plays traffic on a fleet of routers' decisions and engines, in virtual time, without sockets.
+"""Simulates traffic on a fleet of routers and engines, in virtual time, without sockets.
 
-Each router has the product's own objects: upstreams, view of caches, sources, dispatcher, exchange
-of loads and placements. Only links, engines and clients are models. It shows in seconds what a
-change of a decision does at a size that no machine here can run as processes.
+Each router uses the production code for upstreams, the view of caches, cache sources, dispatching,
+and the exchange of loads and placements. Only links, engines and clients are models. A simulation
+of a few seconds shows the effect of a changed routing decision in a fleet that is too large to run
+as processes on one machine.
 """
 
 from __future__ import annotations
@@ -24,22 +25,22 @@
 from passpier.standins import network, virtual
 from passpier.standins.fleet import engines, reports, routers, traffic
 
-WAY = 0.0035
-"""Seconds from a client to a router and on to an engine."""
+NETWORK_DELAY = 0.0035
+"""Seconds from a client to a router, and from a router to an engine."""
 
-TRIES = 3
-"""Times that a request which was refused as not run is placed."""
+MAX_ATTEMPTS = 3
+"""Attempts for a request that is refused as not run."""
 
 PAUSE_MAX = 0.5
-"""Seconds between two events of a stream beyond which it counts as paused."""
+"""Seconds between two events of a stream above which it counts as paused."""
 
-WARM_UP = 0.25
-"""Part of the play that is not counted: all begins cold."""
+WARM_UP_SHARE = 0.25
+"""Share of the simulation that is not counted, since all caches are empty at first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scenario:
-    """What is played; times are in seconds."""
+    """The parameters of a simulation; times are in seconds."""
 
     routers: int = 18
     replicas: int = 59
@@ -49,101 +50,105 @@
 
     seconds: float = 20.0
     renew: float = 8.0
-    """Between two rounds of new weights; 0: there are none."""
+    """Time between two releases of weights; 0 disables them."""
 
     event_tokens: int = 1
-    """Tokens of an event; requests make as many times the tokens that the kinds name."""
+    """Tokens in an event; multiplies the number of output tokens of each request."""
 
     seed: int = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Served:
-    """How a request was served: when its first token came, and the longest pause, in seconds."""
+    """How a request was served: time of its first token, and its longest pause, in seconds."""
 
-    first: float
+    first_token_at: float
     longest_pause: float
 
 
 class Fleet:
-    """All routers and engines of one play."""
+    """All routers and engines of a simulation."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
         self._rng = random.Random(scenario.seed)
-        self._net = network.Network(self._rng)
-        speed = engines.Speed(event_tokens=scenario.event_tokens)
+        self._network = network.Network(self._rng)
+        spec = engines.EngineSpec(event_tokens=scenario.event_tokens)
         domains = scenario.domains
         self.engines = [
-            engines.Engine(f'r{n}', f'd{n % domains}', speed) for n in range(scenario.replicas)
+            engines.Engine(f'r{n}', f'd{n % domains}', spec) for n in range(scenario.replicas)
         ]
         self._by_address = {f'{e.name}:1': e for e in self.engines}
         fleet = [
             members.Member(f'vm-{n}', f'i{n:04}', '10.0.0.1', n, 1000 + n, f'd{n % domains}')
             for n in range(scenario.routers)
         ]
-        self.routers = [routers.Router(m, fleet, self._net, self.engines, self._rng) for m in fleet]
+        self.routers = [
+            routers.Router(m, fleet, self._network, self.engines, self._rng) for m in fleet
+        ]
         self._kinds = traffic.build_kinds(scenario.rate, scenario.replicas)
         self._number = 0
-        self._placing = 0.0
-        self._placed = 0
+        self._placing_seconds = 0.0
+        self._placement_count = 0
         self.report = reports.Report([k.name for k in self._kinds])
 
-    async def play(self) -> reports.Report:
-        """Play all traffic and report."""
+    async def run(self) -> reports.Report:
+        """Simulate all traffic and return the report."""
         seconds = self._scenario.seconds
         tasks = [asyncio.ensure_future(r.loads.run()) for r in self.routers]
         tasks += [asyncio.ensure_future(r.sharing.run()) for r in self.routers]
         if self._scenario.renew:
-            tasks.append(asyncio.ensure_future(self._renew(self._scenario.renew)))
-        asking: set[asyncio.Task[None]] = set()
+            tasks.append(asyncio.ensure_future(self._release_weights(self._scenario.renew)))
+        pending: set[asyncio.Task[None]] = set()
         loop = asyncio.get_running_loop()
         started = loop.time()
         for arrival in traffic.Traffic(self._kinds, self._rng).generate(seconds):
             await asyncio.sleep(max(0.0, started + arrival.at - loop.time()))
-            counts = arrival.at > seconds * WARM_UP
-            task = asyncio.ensure_future(self._ask(self._rng.choice(self.routers), arrival, counts))
-            asking.add(task)
-            task.add_done_callback(asking.discard)
-        await asyncio.gather(*asking)
+            counts = arrival.at > seconds * WARM_UP_SHARE
+            task = asyncio.ensure_future(
+                self._send(self._rng.choice(self.routers), arrival, counts)
+            )
+            pending.add(task)
+            task.add_done_callback(pending.discard)
+        await asyncio.gather(*pending)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        self._sum_up()
+        self._complete_report()
         return self.report
 
-    async def _ask(self, chosen: routers.Router, arrival: traffic.Arrival, counts: bool) -> None:
+    async def _send(self, chosen: routers.Router, arrival: traffic.Arrival, counts: bool) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
-        served = await self._serve(chosen, arrival, began)
+        served = await self._route(chosen, arrival, began)
         if not counts:
             return
         kind = arrival.kind.name
-        self.report.asked[kind] += 1
+        self.report.requests[kind] += 1
         if served is None:
             self.report.refused[kind] += 1
-            self.report.waited_in_vain += loop.time() - began
+            self.report.refusal_wait += loop.time() - began
         else:
-            self.report.firsts[kind].append(served.first - began)
-        if served is None or served.first - began > arrival.kind.objective:
+            self.report.first_token_times[kind].append(served.first_token_at - began)
+        if served is None or served.first_token_at - began > arrival.kind.objective:
             self.report.late[kind] += 1
         elif served.longest_pause > PAUSE_MAX:
             self.report.paused[kind] += 1
 
-    async def _serve(
+    async def _route(
         self, chosen: routers.Router, arrival: traffic.Arrival, began: float
     ) -> Served | None:
-        """Return how a request was served, or none if it was refused."""
+        """Return how a request was served, or None if it was refused."""
         call = _build_call(f'q{self._number}', arrival, began)
         self._number += 1
-        await asyncio.sleep(WAY)
+        await asyncio.sleep(NETWORK_DELAY)
         excluded: set[str] = set()
-        for number in range(TRIES):
+        for number in range(MAX_ATTEMPTS):
             attempt = f'{call.id}-{number}'
             clock = time.process_time()
             placement = await chosen.dispatcher.place(call, attempt, excluded)
-            self._placing += time.process_time() - clock
-            self._placed += 1
+            self._placing_seconds += time.process_time() - clock
+            self._placement_count += 1
             if isinstance(placement, exceptions.Failure):
                 return None
             try:
@@ -173,18 +178,18 @@
             loop.create_future(),
         )
         try:
-            await asyncio.sleep(WAY)
+            await asyncio.sleep(NETWORK_DELAY)
             engine.submit(run)
-            first = await run.first
-            await asyncio.sleep(WAY)
+            first = await run.first_token
+            await asyncio.sleep(NETWORK_DELAY)
             replicas.note_first_token(replica, placement.attempt, loop.time())
             chosen.sharing.note_placed(replica, job)
             await run.ended
-            return Served(first + 2 * WAY, run.longest_pause)
+            return Served(first + 2 * NETWORK_DELAY, run.longest_pause)
         finally:
             chosen.dispatcher.end(placement)
 
-    async def _renew(self, pause: float) -> None:
+    async def _release_weights(self, pause: float) -> None:
         version = 1
         while True:
             await asyncio.sleep(pause)
@@ -193,9 +198,9 @@
             at_once = max(1, int(len(order) * 0.4))
             for start in range(0, len(order), at_once):
                 chosen = order[start : start + at_once]
-                await asyncio.gather(*(self._load(e, version) for e in chosen))
+                await asyncio.gather(*(self._load_weights(e, version) for e in chosen))
 
-    async def _load(self, engine: engines.Engine, version: int) -> None:
+    async def _load_weights(self, engine: engines.Engine, version: int) -> None:
         for one in self.routers:
             one.pools.pause(
                 lives.Life(engine.name), pauses.Pause.LOADING, pools.PAUSE_LOADING, 'loads', version
@@ -204,16 +209,16 @@
         for one in self.routers:
             one.pools.learn_version(lives.Life(engine.name), version, 'model')
 
-    def _sum_up(self) -> None:
+    def _complete_report(self) -> None:
         report = self.report
-        report.read_tokens = sum(e.read for e in self.engines)
-        report.found_tokens = sum(e.found for e in self.engines)
-        report.moves = sum(e.moves for e in self.engines)
-        report.turned_away = sum(e.refused for e in self.engines)
-        busy = [e.busy for e in self.engines]
-        report.busiest = max(busy) / max(1e-9, statistics.mean(busy))
-        report.messages = self._net.carried
-        report.choice_seconds = self._placing / max(1, self._placed)
+        report.prefilled_tokens = sum(e.prefilled_tokens for e in self.engines)
+        report.cached_tokens = sum(e.cached_tokens for e in self.engines)
+        report.transfers = sum(e.transfers for e in self.engines)
+        report.engine_refusals = sum(e.refused for e in self.engines)
+        busy = [e.prefill_seconds for e in self.engines]
+        report.max_load_ratio = max(busy) / max(1e-9, statistics.mean(busy))
+        report.messages = self._network.carried
+        report.placement_seconds = self._placing_seconds / max(1, self._placement_count)
 
 
 def _build_call(id: str, arrival: traffic.Arrival, began: float) -> calls.Call:
@@ -232,27 +237,27 @@
     return call
 
 
-def play(**changes: int | float) -> reports.Report:
-    """Play a scenario in virtual time; `changes` are fields of `Scenario`."""
+def simulate(**changes: int | float) -> reports.Report:
+    """Run a simulation in virtual time; `changes` are fields of `Scenario`."""
     scenario = Scenario(**changes)  # type: ignore[arg-type]
-    steady = clocks.now
+    real_now = clocks.now
 
     async def run() -> reports.Report:
         clocks.now = asyncio.get_running_loop().time
         try:
-            return await Fleet(scenario).play()
+            return await Fleet(scenario).run()
         finally:
-            clocks.now = steady
+            clocks.now = real_now
 
     return virtual.run(run())
 
 
 def main(seed: int = 1, count: int = 1, **changes: int | float) -> None:
-    """Play `count` seeds from `seed` on; other flags are the fields of `Scenario`."""
+    """Simulate `count` seeds from `seed` on; other flags are the fields of `Scenario`."""
     logging.disable(logging.CRITICAL)
     for number in range(seed, seed + count):
         began = clocks.now()
-        report = play(seed=number, **changes)
+        report = simulate(seed=number, **changes)
         print(f'seed {number}, {clocks.now() - began:.0f} s to play')
         print(report.render(), flush=True)
 
--- a/passpier/standins/fleet/reports.py
+++ b/passpier/standins/fleet/reports.py
@@ -1,4 +1,4 @@
-"""What a play of the fleet model showed."""
+"""The report of a simulation of the fleet."""
 
 from __future__ import annotations
 
@@ -8,64 +8,65 @@
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """What a play showed."""
+    """The results of a simulation."""
 
     kinds: list[str]
-    """The kinds of requests, which the counts are by."""
+    """The kinds of requests, which are the keys of the counters."""
 
-    asked: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
+    requests: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
     late: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
-    """Those that missed their objective, refused ones included."""
+    """Requests that missed their objective, including refused ones."""
 
     refused: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
     paused: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
-    """Those that came in time, with a pause in their streams that was too long."""
+    """Requests that met their objective but had too long a pause in their stream."""
 
-    firsts: dict[str, list[float]] = dataclasses.field(
+    first_token_times: dict[str, list[float]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(list)
     )
-    """Seconds to the first token of each request that was served."""
+    """Seconds to the first token of each served request."""
 
-    waited_in_vain: float = 0.0
-    """Seconds that refused requests waited for their refusal, all together."""
+    refusal_wait: float = 0.0
+    """Total seconds that refused requests waited for their refusal."""
 
-    read_tokens: int = 0
-    found_tokens: int = 0
-    moves: int = 0
-    turned_away: int = 0
-    busiest: float = 0.0
-    """How much longer than the mean the busiest engine has read."""
+    prefilled_tokens: int = 0
+    cached_tokens: int = 0
+    transfers: int = 0
+    engine_refusals: int = 0
+    max_load_ratio: float = 0.0
+    """Prefill time of the busiest engine as a multiple of the mean."""
 
     messages: int = 0
-    choice_seconds: float = 0.0
-    """Mean processor time of a placement."""
+    placement_seconds: float = 0.0
+    """Mean processor time of a placement in seconds."""
 
     def compute_late_share(self, kind: str) -> float:
         """Return the share of requests of a kind that missed their objective."""
-        return self.late[kind] / self.asked[kind] if self.asked[kind] else 0.0
+        return self.late[kind] / self.requests[kind] if self.requests[kind] else 0.0
 
     def compute_paused_share(self, kind: str) -> float:
         """Return the share of requests of a kind whose streams paused for too long."""
-        return self.paused[kind] / self.asked[kind] if self.asked[kind] else 0.0
+        return self.paused[kind] / self.requests[kind] if self.requests[kind] else 0.0
 
     def render(self) -> str:
         """Return the report as text."""
         lines = []
         for kind in self.kinds:
-            times = sorted(self.firsts[kind]) or [0.0]
+            times = sorted(self.first_token_times[kind]) or [0.0]
             lines.append(
-                f'  {kind:6} {self.asked[kind]:6} asked, late {self.compute_late_share(kind):.3f}, '
+                f'  {kind:6} {self.requests[kind]:6} asked, '
+                f'late {self.compute_late_share(kind):.3f}, '
                 f'paused {self.compute_paused_share(kind):.3f}, '
                 f'{self.refused[kind]} of them refused, '
                 f'p50 {times[len(times) // 2] * 1000:.0f} ms, '
                 f'p99 {times[int(len(times) * 0.99)] * 1000:.0f} ms'
             )
-        cached = self.found_tokens / max(1, self.found_tokens + self.read_tokens)
+        cached = self.cached_tokens / max(1, self.cached_tokens + self.prefilled_tokens)
         lines.append(
-            f'  read {self.read_tokens / 1e6:.2f} M tokens, found {cached:.3f} cached, '
-            f'{self.moves} moves, {self.turned_away} turned away, '
-            f'{self.waited_in_vain:.1f} s waited in vain, '
-            f'busiest/mean {self.busiest:.2f}, {self.messages} messages, '
-            f'{self.choice_seconds * 1e6:.0f} us a choice'
+            f'  read {self.prefilled_tokens / 1e6:.2f} M tokens, found {cached:.3f} cached, '
+            f'{self.transfers} moves, {self.engine_refusals} turned away, '
+            f'{self.refusal_wait:.1f} s waited in vain, '
+            f'busiest/mean {self.max_load_ratio:.2f}, {self.messages} messages, '
+            f'{self.placement_seconds * 1e6:.0f} us a choice'
         )
         return '\n'.join(lines)
--- a/passpier/standins/fleet/routers.py
+++ b/passpier/standins/fleet/routers.py
@@ -1,4 +1,4 @@
-"""One router of the fleet model: the product's own objects, with links in place of sockets."""
+"""A router of the simulated fleet: production objects, with links in place of sockets."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from passpier.standins.fleet import engines
 
 SERVICE = 'llm'
-RATE = 10.0
-"""Requests a second that each router tells of itself, so that all count as taking requests."""
+REQUEST_RATE = 10.0
+"""Requests a second that each router reports, so that all count as receiving requests."""
 
 
 class Router:
-    """One router's decisions."""
+    """The decision-making parts of a router."""
 
     def __init__(
         self,
@@ -36,19 +36,19 @@
                 SERVICE,
                 f'{engine.name}:1',
                 engine.domain,
-                engine.speed.slots,
+                engine.spec.slots,
                 False,
                 {'m': 1},
             )
             self.pools.apply_change(catalogue.Change(engine.name, entry, 'model'))
-            # As after some minutes of traffic.
-            self.pools.get(engine.name).seconds_per_token = 1 / engine.speed.read_rate
+            # The value that routers have learned after some minutes of traffic.
+            self.pools.get(engine.name).seconds_per_token = 1 / engine.spec.prefill_rate
         self.membership = members.Membership(own, 1e6, now)
         for member in fleet:
             self.membership.add(member, now)
-        beats = [members.Beat(m.incarnation, 1, rate=RATE) for m in fleet]
+        beats = [members.Beat(m.incarnation, 1, rate=REQUEST_RATE) for m in fleet]
         self.membership.merge(beats, now)
-        self.membership.advance(now, 0, 0, 0, False, RATE)
+        self.membership.advance(now, 0, 0, 0, False, REQUEST_RATE)
         link: peers.Peers = net.connect(own)  # type: ignore[assignment]
         self.loads = loads.Loads(self.membership, self.pools, link, router.LOADS_INTERVAL)
         self.sharing = sharing.Sharing(sources.Sources(self.pools), self.membership, link)
@@ -56,6 +56,6 @@
 
 
 def _build_configuration(pool: list[engines.Engine]) -> routes.Configuration:
-    speed = pool[0].speed
-    engine = routes.Engine(('m',), speed.slots, speed.memory)
+    spec = pool[0].spec
+    engine = routes.Engine(('m',), spec.slots, spec.memory_tokens)
     return routes.Configuration(1, services={SERVICE: routes.Service(SERVICE, 0, engine)})
--- a/passpier/standins/fleet/traffic.py
+++ b/passpier/standins/fleet/traffic.py
@@ -1,4 +1,4 @@
-"""Traffic of long prompts in families, as the platform's sheets describe it."""
+"""Traffic of prompts with shared prefixes (families), as in the platform's data sheets."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Kind:
-    """One kind of request; token counts are means, spreads those of their logarithms."""
+    """A kind of request; token counts are means, spreads are standard deviations of logarithms."""
 
     name: str
     rate: float
-    """Requests a second, all routers together."""
+    """Requests a second over all routers."""
 
     priority: int
     objective: float
-    """Seconds to the first token."""
+    """Target time to the first token in seconds."""
 
     preambles: int
     preamble_tokens: int
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that comes at a time."""
+    """A request and its arrival time."""
 
     at: float
     kind: Kind
@@ -43,28 +43,28 @@
     output: int
 
 
-def _draw(rng: random.Random, mean: float, spread: float, most: float) -> int:
+def _draw_log_normal(rng: random.Random, mean: float, spread: float, most: float) -> int:
     """Draw from a log-normal distribution with a given mean."""
     value = rng.lognormvariate(math.log(mean) - spread * spread / 2, spread)
     return max(1, int(min(value, most)))
 
 
 class Traffic:
-    """Arrivals of all kinds, by seed."""
+    """Random arrivals of all kinds of requests."""
 
     def __init__(self, kinds: tuple[Kind, ...], rng: random.Random) -> None:
         self._kinds = kinds
         self._rng = rng
         self._preambles = {
             k.name: [
-                _draw(rng, k.preamble_tokens, k.preamble_spread, 2.5 * k.preamble_tokens)
+                _draw_log_normal(rng, k.preamble_tokens, k.preamble_spread, 2.5 * k.preamble_tokens)
                 for _ in range(k.preambles)
             ]
             for k in kinds
         }
         self._families = {
             k.name: [
-                _draw(rng, k.family_tokens, k.family_spread, 3 * k.family_tokens)
+                _draw_log_normal(rng, k.family_tokens, k.family_spread, 3 * k.family_tokens)
                 for _ in range(k.families)
             ]
             for k in kinds
@@ -72,7 +72,7 @@
         self._number = 0
 
     def generate(self, seconds: float) -> Iterator[Arrival]:
-        """Return the arrivals of so many seconds in their order."""
+        """Yield the arrivals of `seconds` in order of time."""
         total = sum(k.rate for k in self._kinds)
         at = 0.0
         while (at := at + self._rng.expovariate(total)) < seconds:
@@ -83,7 +83,7 @@
         self._number += 1
         family = self._rng.randrange(kind.families)
         preamble = family % kind.preambles
-        own = _draw(self._rng, kind.own_tokens, kind.own_spread, 14 * kind.own_tokens)
+        own = _draw_log_normal(self._rng, kind.own_tokens, kind.own_spread, 14 * kind.own_tokens)
         parts = (
             prompts.Part(f'{kind.name}/p{preamble}', self._preambles[kind.name][preamble]),
             prompts.Part(f'{kind.name}/f{family}', self._families[kind.name][family]),
@@ -93,10 +93,10 @@
 
 
 def build_kinds(rate: float, replicas: int) -> tuple[Kind, ...]:
-    """Return long and short prompts for a pool, `rate` requests a second at each replica.
+    """Return the kinds of long and short prompts for a pool, `rate` requests a second and replica.
 
-    The shape is the sheet's: half long prompts with little output, half short ones with more; about
-    22 long and 31 short families to a replica.
+    As in the platform's data sheet, half of the requests are long prompts with little output, half
+    are short ones with more. There are about 22 long and 31 short families for each replica.
     """
     long = Kind(
         'long', rate * replicas * 0.52, 1, 0.6, 4, 2520, max(4, 22 * replicas), 3780, 2890, 7
--- a/passpier/tests/standins/__init__.py
+++ b/passpier/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the models that decisions are measured on."""
+"""Tests of the simulations that evaluate routing and rate-limit decisions."""
--- a/passpier/tests/standins/fleet_tests.py
+++ b/passpier/tests/standins/fleet_tests.py
@@ -1,13 +1,13 @@
-"""The heaviest pattern of a large fleet, on the model without sockets.
+"""The heaviest traffic pattern of a large fleet, on the simulation without sockets.
 
-Pattern: 59 engines read long prompts a third of their time; prompts come in 22 families an engine,
-each asked for every 9 seconds, and all caches are emptied by new weights every 8 seconds, in rounds
-of 0.4 of the engines. So most prompts are the first of their family on these weights, and every
-router sees a small part of the traffic.
+59 engines spend a third of their time on prefill of long prompts. There are 22 prompt families for
+each engine, each requested every 9 seconds, and new weights clear all caches every 8 seconds, on
+0.4 of the engines at a time. So most prompts are the first of their family on the current weights,
+and every router sees a small part of the traffic.
 
-Grounds of the figures: 4.75 requests a second and engine, half of them with 9,190 tokens at 56,900
-tokens a second, are the users' large deployment on a quiet day; 18 routers carry it. With perfect
-knowledge (one router) 0.5 to 0.7 in 100 long prompts are late, for most by their own length.
+4.75 requests a second and engine, half of them with 9,190 tokens at 56,900 tokens a second, are the
+load of the users' large deployment on a quiet day, with 18 routers. With complete knowledge (one
+router), 0.5 to 0.7 in 100 long prompts are late, most of them because of their own length.
 """
 
 from __future__ import annotations
@@ -20,35 +20,37 @@
 from passpier.core import choice, prompts, replicas
 from passpier.standins.fleet import model, reports
 
-QUIET_SECONDS = 20.0
-QUIET_LATE_MAX = 0.025
-"""Share of long prompts that may come late: four seeds showed 0.004 to 0.011."""
+NORMAL_SECONDS = 20.0
+NORMAL_LATE_MAX = 0.025
+"""Maximum share of late long prompts; four seeds have 0.004 to 0.011."""
 
 HEAVY_SECONDS = 10.0
 HEAVY_RATE = 10.0
-"""Requests a second and engine, of which the engines' readers are 60 in 100 busy: a burst on a pool
-of which a third loads weights."""
+"""Requests a second and engine at which engines spend 60 in 100 of their time on prefill: a burst
+on a pool of which a third loads weights."""
 
 HEAVY_LATE_MAX = 0.09
-"""The same under that load: six plays showed 0.028 to 0.062."""
+"""The same under that load; six simulations have 0.028 to 0.062."""
 
-BUSIEST_MAX = 2.0
+LOAD_RATIO_MAX = 2.0
 
 FULL_RATE = 14.0
-"""Requests a second and engine at which the engines' readers are 84 in 100 busy."""
+"""Requests a second and engine at which engines spend 84 in 100 of their time on prefill."""
 
 FULL_SEEDS = (1, 2)
-FULL_LATE_PART = 0.75
-"""Part of the long prompts that come late there if each router has a part of each engine's queue to
-itself; at least a quarter fewer have to be late if what all have there counts."""
+FULL_LATE_SHARE = 0.75
+"""Late long prompts as a share of those late when each router has its own part of each queue: at
+least a quarter fewer have to be late when the requests of all routers count."""
 
 STREAMS_RATE = 6.0
-"""Requests a second and engine at which its reader is 40 in 100 busy, while short prompts make some
-300 tokens in 1.5 to 5 s, eight an event, as on the users' deployment of the shifted work."""
+"""Requests a second and engine at which an engine spends 40 in 100 of its time on prefill, while
+short prompts generate some 300 tokens in 1.5 to 5 s, eight an event, as in the users' deployment of
+the shifted work."""
 
 STREAMS_SEEDS = (1, 2, 3)
-STREAMS_PART = 0.75
-"""At least a quarter fewer streams have to pause than if only waits and reading count."""
+PAUSED_SHARE_MAX = 0.75
+"""Paused streams as a share of those when only waiting and prefill times count: at least a quarter
+fewer have to pause."""
 
 
 @pytest.fixture(autouse=True)
@@ -58,19 +60,19 @@
     logging.disable(logging.NOTSET)
 
 
-def play_quiet(**changes: int) -> reports.Report:
-    return model.play(seconds=QUIET_SECONDS, seed=2, **changes)
+def simulate_normal(**changes: int) -> reports.Report:
+    return model.simulate(seconds=NORMAL_SECONDS, seed=2, **changes)
 
 
-def play_heavy() -> reports.Report:
-    return model.play(seconds=HEAVY_SECONDS, seed=2, rate=HEAVY_RATE, renew=0.0)
+def simulate_heavy() -> reports.Report:
+    return model.simulate(seconds=HEAVY_SECONDS, seed=2, rate=HEAVY_RATE, renew=0.0)
 
 
-def test_long_prompts_come_in_time_on_a_large_pool_that_is_a_third_busy() -> None:
-    report = play_quiet()
-    assert report.compute_late_share('long') < QUIET_LATE_MAX, report.render()
+def test_long_prompts_are_in_time_on_a_large_pool_that_is_a_third_busy() -> None:
+    report = simulate_normal()
+    assert report.compute_late_share('long') < NORMAL_LATE_MAX, report.render()
     assert report.compute_late_share('short') == 0.0, report.render()
-    assert report.busiest < BUSIEST_MAX, report.render()
+    assert report.max_load_ratio < LOAD_RATIO_MAX, report.render()
 
 
 @pytest.mark.parametrize('crowding', [True, False])
@@ -79,52 +81,55 @@
 ) -> None:
     if not crowding:
         request.getfixturevalue('without_crowding')
-    report = play_heavy()
+    report = simulate_heavy()
     assert report.compute_late_share('long') < HEAVY_LATE_MAX, report.render()
     assert report.compute_late_share('short') == 0.0, report.render()
 
 
-def play_full() -> list[reports.Report]:
-    """Six engines are left of eight, and thirteen routers go on sending what eight could read."""
+def simulate_full() -> list[reports.Report]:
+    """Simulate six engines of a pool of eight, with the traffic for eight from thirteen routers."""
     return [
-        model.play(routers=13, replicas=6, rate=FULL_RATE, renew=0.0, seconds=12.0, seed=seed)
+        model.simulate(routers=13, replicas=6, rate=FULL_RATE, renew=0.0, seconds=12.0, seed=seed)
         for seed in FULL_SEEDS
     ]
 
 
-def count_late(played: list[reports.Report]) -> float:
-    return sum(report.compute_late_share('long') for report in played)
+def count_late(simulated: list[reports.Report]) -> float:
+    return sum(report.compute_late_share('long') for report in simulated)
 
 
 @pytest.fixture
 def without_crowding(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have choices weigh waits and reading alone, so that crowding makes up for no other fault."""
+    """Disable the crowding weight, so that only waiting and prefill times affect choices.
+
+    Otherwise crowding could hide the fault that a test is for.
+    """
     monkeypatch.setattr(choice, 'CROWDING_WEIGHT', dict.fromkeys(choice.CROWDING_WEIGHT, 0.0))
 
 
-def test_a_pool_near_its_limit_keeps_no_queue_of_each_router(
+def test_routers_share_the_queues_of_a_pool_near_its_limit(
     monkeypatch: pytest.MonkeyPatch, request: pytest.FixtureRequest
 ) -> None:
-    played = play_full()
+    simulated = simulate_full()
     request.getfixturevalue('without_crowding')
-    by_waits = play_full()
+    by_wait_times = simulate_full()
 
     def has_room(replica: replicas.Replica, now: float) -> bool:
         own = sum(replicas.count_pending(replica, now)) * replica.seconds_per_token
         return replicas.is_open(replica, now) and own < 0.6 / 13
 
     monkeypatch.setattr(replicas, 'has_room', has_room)
-    late = count_late(play_full())
-    assert count_late(played) < FULL_LATE_PART * late
-    assert count_late(by_waits) < FULL_LATE_PART * late
-    for report in [*played, *by_waits]:
-        assert sum(report.refused.values()) < 0.1 * sum(report.asked.values()), report.render()
+    late = count_late(simulate_full())
+    assert count_late(simulated) < FULL_LATE_SHARE * late
+    assert count_late(by_wait_times) < FULL_LATE_SHARE * late
+    for report in [*simulated, *by_wait_times]:
+        assert sum(report.refused.values()) < 0.1 * sum(report.requests.values()), report.render()
 
 
 def count_paused() -> float:
-    """Return the mean share of short prompts whose streams pause, in three plays."""
-    played = [
-        model.play(
+    """Return the mean share of short prompts whose streams pause, over three simulations."""
+    simulated = [
+        model.simulate(
             routers=13,
             replicas=8,
             domains=4,
@@ -136,45 +141,45 @@
         )
         for seed in STREAMS_SEEDS
     ]
-    return sum(r.compute_paused_share('short') for r in played) / len(played)
+    return sum(r.compute_paused_share('short') for r in simulated) / len(simulated)
 
 
-def test_long_prompts_do_not_stop_the_streams_of_short_ones(
+def test_long_prompts_do_not_pause_the_streams_of_short_ones(
     request: pytest.FixtureRequest,
 ) -> None:
     paused = count_paused()
     request.getfixturevalue('without_crowding')
-    assert paused < STREAMS_PART * count_paused()
+    assert paused < PAUSED_SHARE_MAX * count_paused()
 
 
 @pytest.mark.usefixtures('without_crowding')
-def test_waits_that_run_out_before_the_answer_is_there_are_caught(
+def test_wait_estimates_that_run_out_before_the_response_are_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(replicas, 'UNANSWERED_SHARE', 0.0)
-    report = play_heavy()
+    report = simulate_heavy()
     assert report.compute_late_share('long') > 1.5 * HEAVY_LATE_MAX, report.render()
 
 
-def test_both_together_with_weak_homes_are_caught_on_the_quiet_pool(
+def test_short_wait_estimates_and_weak_homes_are_detected_at_normal_load(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(replicas, 'UNANSWERED_SHARE', 0.0)
     monkeypatch.setattr(prompts, 'count_preamble', lambda prompt: 0)
     monkeypatch.setattr(choice, 'HOME_PLACES', 58)
-    report = play_quiet()
-    assert report.compute_late_share('long') > 3 * QUIET_LATE_MAX, report.render()
-    assert report.busiest > BUSIEST_MAX, report.render()
+    report = simulate_normal()
+    assert report.compute_late_share('long') > 3 * NORMAL_LATE_MAX, report.render()
+    assert report.max_load_ratio > LOAD_RATIO_MAX, report.render()
 
 
-def test_without_word_of_loads_few_come_late() -> None:
-    # More routers than tell each other: each rests on what it saw itself.
-    report = play_quiet(routers=80)
+def test_few_prompts_are_late_without_an_exchange_of_loads() -> None:
+    # With so many routers none exchanges loads; each relies on its own observations.
+    report = simulate_normal(routers=80)
     assert report.messages == 0
-    assert report.compute_late_share('long') < 2 * QUIET_LATE_MAX, report.render()
+    assert report.compute_late_share('long') < 2 * NORMAL_LATE_MAX, report.render()
 
 
-def test_a_seed_gives_the_same_play() -> None:
-    first, second = (model.play(routers=3, replicas=8, seconds=3.0) for _ in range(2))
-    assert first.firsts == second.firsts
-    assert first.read_tokens == second.read_tokens
+def test_a_seed_gives_the_same_simulation() -> None:
+    first, second = (model.simulate(routers=3, replicas=8, seconds=3.0) for _ in range(2))
+    assert first.first_token_times == second.first_token_times
+    assert first.prefilled_tokens == second.prefilled_tokens
