--- a/passpier/standins/__init__.py
+++ b/passpier/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the outside systems, for tests and trials only."""
+"""Small stand-ins for the external systems, used by tests and benchmarks only."""
--- a/passpier/standins/bench.py
+++ b/passpier/standins/bench.py
@@ -1,7 +1,7 @@
 """Compares routing policies on the same arrivals, with real daemons and stand-in engines.
 
-Prints one JSON line for each scenario, policy and seed. Absolute times mean nothing beyond this
-machine; compare the policies of one run.
+Prints one JSON line for each scenario, policy and seed. Absolute times depend on the machine;
+compare only policies of the same run.
 """
 
 from __future__ import annotations
@@ -30,19 +30,19 @@
 ACCOUNTS = ('tower', 'district', 'coop', 'greedy')
 ENGINE_FLAGS = ('--cache-blocks', '1100', '--prefill-rate', '40000', '--decode-ms', '4')
 COST_ONLY = frozenset({'not_greedy', 'with_events'})
-"""Scenarios that are compared with another one, not with other policies."""
+"""Scenarios that are compared with another scenario, not with other policies."""
 
-CALLER_PATIENCE = 12.0
-"""Seconds after which a caller gives a request up."""
+CALLER_TIMEOUT = 12.0
+"""Seconds after which a caller gives up a request."""
 
 Action = Callable[[fleets.Fleet], None]
 
 
 @dataclasses.dataclass(frozen=True)
 class Scenario:
-    """A workload with what happens during it; actions by seconds from the start."""
+    """A workload with actions during it, each with its time in seconds from the start."""
 
-    make: workloads.Maker
+    make_workload: workloads.WorkloadFactory
     objective: str = 'first_token'
     actions: tuple[tuple[float, Action], ...] = ()
     setup: Action | None = None
@@ -50,19 +50,19 @@
 
 
 def restart_engine(fleet: fleets.Fleet) -> None:
-    """Let an engine crash and come back empty."""
+    """Crash an engine, which restarts with an empty cache."""
     fleet.engines[0].post('/_counters', {'crash': True})
 
 
 def restart_daemons(fleet: fleets.Fleet) -> None:
-    """Kill all daemons and start them again."""
+    """Kill all daemons and restart them."""
     for daemon in fleet.daemons:
         daemon.kill()
     for daemon in fleet.daemons:
         daemon.start()
 
 
-def spoil_events(fleet: fleets.Fleet) -> None:
+def degrade_events(fleet: fleets.Fleet) -> None:
     """Delay cache events by two seconds and lose a third of them."""
     for engine in fleet.engines:
         engine.set_faults(event_lag=2.0, gap_percent=33)
@@ -78,7 +78,7 @@
     ),
     'bad_events': Scenario(
         lambda rng: workloads.make_radar(rng, 60, SECONDS),
-        setup=spoil_events,
+        setup=degrade_events,
         daemon_flags=('--events', 'all'),
     ),
     'herd': Scenario(
@@ -94,13 +94,13 @@
 
 
 @dataclasses.dataclass
-class Tally:
-    """What the callers of one run met."""
+class Results:
+    """The results of the callers of one run; `well_behaved` excludes the greedy account."""
 
     histogram: Any = dataclasses.field(
         default_factory=lambda: hdrh.histogram.HdrHistogram(1, 120_000_000, 3)
     )
-    calm: Any = dataclasses.field(
+    well_behaved: Any = dataclasses.field(
         default_factory=lambda: hdrh.histogram.HdrHistogram(1, 120_000_000, 3)
     )
     completed: int = 0
@@ -138,16 +138,16 @@
 
 
 class Callers:
-    """Sends a workload at its times and measures the answers."""
+    """Sends the requests of a workload at their times and measures the responses."""
 
-    def __init__(self, fleet: fleets.Fleet, tally: Tally) -> None:
+    def __init__(self, fleet: fleets.Fleet, results: Results) -> None:
         self._entries = [d.entry for d in fleet.daemons]
         self._client = web.Client()
-        self._tally = tally
+        self._results = results
         self._began = 0.0
 
     async def run(self, requests: list[workloads.Request]) -> None:
-        """Send all requests, open loop."""
+        """Send all requests on schedule, without waiting for responses (open loop)."""
         self._began = clocks.now()
         tasks = []
         for number, request in enumerate(requests):
@@ -158,17 +158,17 @@
     async def _send(self, number: int, request: workloads.Request) -> None:
         due = self._began + request.at
         attempt = number
-        while clocks.now() - due < CALLER_PATIENCE:
+        while clocks.now() - due < CALLER_TIMEOUT:
             try:
-                await self._ask(self._entries[attempt % len(self._entries)], request, due)
+                await self._request(self._entries[attempt % len(self._entries)], request, due)
                 return
             except web.ExchangeError:
-                # All requests here may be repeated; a caller whose daemon died asks another.
+                # All requests of the bench are repeatable, so the caller tries the next daemon.
                 attempt += 1
                 await asyncio.sleep(0.05)
-        self._tally.lost += 1
+        self._results.lost += 1
 
-    async def _ask(self, entry: str, request: workloads.Request, due: float) -> None:
+    async def _request(self, entry: str, request: workloads.Request, due: float) -> None:
         body = {
             'model': request.service,
             'prompt': request.prompt,
@@ -182,7 +182,7 @@
         head = await exchange.read_head()
         if head.status != 200:
             await exchange.read_all()
-            self._tally.refused += 1
+            self._results.refused += 1
             return
         first = 0.0
         last = b''
@@ -190,16 +190,16 @@
             first = first or clocks.now()
             last = event
         if last != engines.END_MARK:
-            self._tally.lost += 1
+            self._results.lost += 1
             return
-        self._tally.completed += 1
-        self._tally.histogram.record_value(int((first - due) * 1e6))
+        self._results.completed += 1
+        self._results.histogram.record_value(int((first - due) * 1e6))
         if request.account != 'greedy':
-            self._tally.calm.record_value(int((first - due) * 1e6))
+            self._results.well_behaved.record_value(int((first - due) * 1e6))
 
 
 def read_wasted(fleet: fleets.Fleet) -> int:
-    """Return the tokens that daemons had computed though another replica held them."""
+    """Return the tokens that were computed although another replica had them cached."""
     total = 0.0
     for daemon in fleet.daemons:
         page = processes.call('GET', f'http://{daemon.entry}/metrics')[2].decode()
@@ -209,10 +209,10 @@
 
 
 def run_one(scenario_name: str, policy: str, seed: int) -> dict[str, Any]:
-    """Run one scenario under one policy and return its figures."""
+    """Run one scenario with one policy and return its results."""
     scenario = SCENARIOS[scenario_name]
-    workload = scenario.make(random.Random(seed))
-    tally = Tally()
+    workload = scenario.make_workload(random.Random(seed))
+    results = Results()
     with fleets.run_fleet(daemons=3, engines=5, services=0, engine_flags=ENGINE_FLAGS) as fleet:
         schema = build_schema(fleet, policy, scenario.objective, workload.preamble)
         fleet.apply(schema, 1)
@@ -222,18 +222,20 @@
         timers = [threading.Timer(at, action, [fleet]) for at, action in scenario.actions]
         for timer in timers:
             timer.start()
-        asyncio.run(run_callers(fleet, tally, workload.requests))
+        asyncio.run(run_callers(fleet, results, workload.requests))
         for timer in timers:
             timer.join()
         counters = [e.get_counters() for e in fleet.engines]
         wasted = read_wasted(fleet)
         errors = sum(d.read_log().count('"level": "ERROR"') for d in fleet.daemons)
-    return summarise(scenario_name, policy, seed, workload, tally, counters, wasted, errors)
+    return summarise(scenario_name, policy, seed, workload, results, counters, wasted, errors)
 
 
-async def run_callers(fleet: fleets.Fleet, tally: Tally, requests: list[workloads.Request]) -> None:
-    """Run the callers in an event loop of their own."""
-    await Callers(fleet, tally).run(requests)
+async def run_callers(
+    fleet: fleets.Fleet, results: Results, requests: list[workloads.Request]
+) -> None:
+    """Send all requests of a run."""
+    await Callers(fleet, results).run(requests)
 
 
 def summarise(
@@ -241,12 +243,12 @@
     policy: str,
     seed: int,
     workload: workloads.Workload,
-    tally: Tally,
+    results: Results,
     counters: list[Any],
     wasted: int,
     errors: int,
 ) -> dict[str, Any]:
-    """Return the JSON line of a run."""
+    """Return the JSON fields of a run."""
     prompt = sum(c['totals'].get('prompt_tokens', 0) for c in counters)
     cached = sum(c['totals'].get('cached_tokens', 0) for c in counters)
     doubled = sum(n - 1 for c in counters for n in c['runs'].values() if n > 1)
@@ -257,19 +259,19 @@
         'hit_rate': round(cached / max(1, prompt), 4),
         'wasted_tokens': wasted,
         'recomputed_tokens': max(0, prompt - cached - workload.distinct_tokens),
-        'ttft_p50_ms': round(tally.histogram.get_value_at_percentile(50) / 1e3, 1),
-        'ttft_p99_ms': round(tally.histogram.get_value_at_percentile(99) / 1e3, 1),
-        'calm_p99_ms': round(tally.calm.get_value_at_percentile(99) / 1e3, 1),
-        'completed': tally.completed,
-        'refused': tally.refused,
-        'lost': tally.lost,
+        'ttft_p50_ms': round(results.histogram.get_value_at_percentile(50) / 1e3, 1),
+        'ttft_p99_ms': round(results.histogram.get_value_at_percentile(99) / 1e3, 1),
+        'calm_p99_ms': round(results.well_behaved.get_value_at_percentile(99) / 1e3, 1),
+        'completed': results.completed,
+        'refused': results.refused,
+        'lost': results.lost,
         'doubled': doubled,
         'log': f'{errors} errors',
     }
 
 
-def run_apart(scenario: str, policy: str, seed: int) -> str:
-    """Run one in a process of its own and return its line."""
+def run_subprocess(scenario: str, policy: str, seed: int) -> str:
+    """Run one scenario in a separate process and return its JSON line."""
     arguments = [sys.executable, '-m', 'passpier.standins.bench', '--one', scenario, policy]
     done = subprocess.run(
         [*arguments, str(seed)], capture_output=True, text=True, timeout=300, check=False
@@ -278,7 +280,7 @@
 
 
 def main() -> None:
-    """Run the chosen scenarios under all policies."""
+    """Run the chosen scenarios with all policies."""
     parser = argparse.ArgumentParser(prog='bench')
     parser.add_argument('scenarios', nargs='*', default=[s for s in SCENARIOS if s != 'smoke'])
     parser.add_argument('--one', nargs=3, metavar=('SCENARIO', 'POLICY', 'SEED'))
@@ -298,7 +300,7 @@
         if policy == 'cost' or scenario not in COST_ONLY
     ]
     with concurrent.futures.ThreadPoolExecutor(arguments.parallel) as pool:
-        for line in pool.map(lambda run: run_apart(*run), runs):
+        for line in pool.map(lambda run: run_subprocess(*run), runs):
             print(line, flush=True)
 
 
--- a/passpier/standins/cache.py
+++ b/passpier/standins/cache.py
@@ -1,4 +1,4 @@
-"""Bounded block cache of the stand-in engine, with LRU eviction and events."""
+"""Bounded block cache of the stand-in engine, with LRU eviction and cache events."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BlockCache:
-    """Cached blocks, least recently used first; `events` gathers what changed."""
+    """Cached blocks, least recently used first; `events` collects the changes."""
 
     def __init__(self, capacity: int, block_tokens: int) -> None:
         self.capacity = capacity
@@ -20,7 +20,7 @@
         self.events: list[kvevents.Event] = []
 
     def count_cached(self, chain: list[int]) -> int:
-        """Return how many leading blocks are held, and mark them as used."""
+        """Return the number of leading blocks in the cache, and mark them as recently used."""
         count = 0
         for block in chain:
             if block not in self.held:
@@ -31,7 +31,7 @@
         return count
 
     def store(self, chain: list[int], cached: int, data: bytes, salt: str) -> None:
-        """Add what is missing of `chain`, evicting the least recently used."""
+        """Add the blocks of `chain` after the first `cached`; evict the least recently used."""
         new = chain[cached:]
         for block in reversed(chain):
             self.held[block] = None
@@ -58,13 +58,13 @@
         self.events.append(kvevents.AllBlocksCleared())
 
     def take_events(self) -> list[kvevents.Event]:
-        """Return and forget the gathered events."""
+        """Return and clear the collected events."""
         events, self.events = self.events, []
         return events
 
 
 def encode_prompt(prompt: object) -> bytes:
-    """Return the canonical token string of a completion prompt."""
+    """Return the encoded tokens of a completion prompt, which is text or a list of tokens."""
     if isinstance(prompt, str):
         return blocks.encode_text(prompt)
     return array.array('I', list(prompt)).tobytes()  # type: ignore[call-overload]
--- a/passpier/standins/common.py
+++ b/passpier/standins/common.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: fault switches and the start of a small HTTP process."""
+"""Shared parts of the stand-ins: fault switches and a small HTTP server process."""
 
 from __future__ import annotations
 
@@ -17,23 +17,34 @@
 
 @dataclasses.dataclass
 class Faults:
-    """Faults that an HTTP call to `/faults` switches; delays in seconds."""
+    """Faults that are set by an HTTP call to `/faults`."""
 
     drop: bool = False
+    """Close the connection of every call without a response."""
+
     delay: float = 0.0
+    """Seconds by which every call is delayed."""
+
     lose_answer: int = 0
+    """Number of calls that take effect but get no response."""
+
     frozen: bool = False
+    """Hold every call until the fault is cleared."""
+
     refuse: bool = False
+    """Refuse requests as not run."""
+
     options: dict[str, Any] = dataclasses.field(default_factory=dict)
+    """Further switches of a single stand-in."""
 
 
 class Handler(tornado.web.RequestHandler):
-    """Base handler: applies the faults that hold for every call."""
+    """Base handler, which applies the faults that are common to all calls."""
 
     faults: Faults
 
     def initialize(self, faults: Faults, **state: Any) -> None:
-        """Keep the shared state."""
+        """Store the shared state as attributes."""
         self.faults = faults
         for name, value in state.items():
             setattr(self, name, value)
@@ -45,18 +56,18 @@
         if self.faults.delay:
             await asyncio.sleep(self.faults.delay)
         if self.faults.drop:
-            self.cut()
+            self.drop_connection()
 
-    def cut(self) -> None:
-        """Close the connection without an answer."""
+    def drop_connection(self) -> None:
+        """Close the connection without a response."""
         self.request.connection.stream.close()  # type: ignore[union-attr]
         raise tornado.web.Finish
 
-    def cut_if_answer_is_lost(self) -> None:
-        """Close the connection after the effect, while such a fault is set."""
+    def drop_lost_answer(self) -> None:
+        """Close the connection if the response is to be lost; called after the effect."""
         if self.faults.lose_answer:
             self.faults.lose_answer -= 1
-            self.cut()
+            self.drop_connection()
 
     def get_body(self) -> dict[str, Any]:
         """Return the JSON body."""
@@ -67,11 +78,11 @@
     """Sets and shows the fault switches."""
 
     def initialize(self, faults: Faults) -> None:
-        """Keep the shared switches."""
+        """Store the shared switches."""
         self.faults = faults
 
     def post(self) -> None:
-        """Set the named switches; unknown ones are kept as options."""
+        """Set switches from the JSON body; unknown names become options."""
         for name, value in json.loads(self.request.body).items():
             if name in {f.name for f in dataclasses.fields(Faults)}:
                 setattr(self.faults, name, value)
@@ -81,7 +92,7 @@
 
 
 def build_parser(name: str) -> argparse.ArgumentParser:
-    """Return a parser with the flags that all stand-ins share."""
+    """Return a parser with the flags common to all stand-ins."""
     parser = argparse.ArgumentParser(prog=name)
     parser.add_argument('--port', type=int, default=0)
     parser.add_argument('--ip', default='127.0.0.1')
@@ -89,7 +100,7 @@
 
 
 async def serve(routes: list[Any], faults: Faults, port: int, ip: str) -> None:
-    """Serve until SIGTERM; print the port as the first line."""
+    """Serve until SIGTERM or SIGINT; print the port as the first line."""
     logging.getLogger('tornado.access').setLevel(logging.ERROR)
     application = tornado.web.Application([('/faults', FaultsHandler, {'faults': faults}), *routes])
     sockets = tornado.netutil.bind_sockets(port, ip)
--- a/passpier/standins/engine.py
+++ b/passpier/standins/engine.py
@@ -1,7 +1,7 @@
-"""Stand-in of a model engine: OpenAI-style API, a block cache and a time model.
+"""Stand-in for an inference engine: OpenAI-style API, a block cache and a time model.
 
-Its text is a function of all text before it, as with a greedy model, so that a continuation
-elsewhere can be checked byte by byte.
+Generated text depends only on all text before it, as with greedy decoding, so that a continuation
+on another engine can be checked byte by byte.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from passpier.standins import cache as block_cache
 from passpier.standins import common, scheduler
 
-DEADLY_SECONDS = 0.02
-"""Seconds from the start of a run that ends its engine until it does."""
+CRASH_DELAY = 0.02
+"""Seconds between the start of a run that crashes its engine and the crash."""
 
 
 class EngineHandler(common.Handler):
-    """Base of the engine's calls."""
+    """Base handler of the engine's API."""
 
     engine: scheduler.Engine
 
     def set_report_headers(self) -> None:
-        """Add identity and load, which cost the caller nothing extra."""
+        """Add the engine's identity and load, which saves callers a separate report."""
         report = self.engine.report()
         self.set_header('X-Engine-Incarnation', report['incarnation'])
         version = self.faults.options.get('answer_version') or report['weight_version']
@@ -40,7 +40,7 @@
         )
 
     async def send_pieces(self, stream: scheduler.Stream, offset: int) -> None:
-        """Stream pieces from `offset`, then usage and the end mark."""
+        """Stream pieces from `offset` on, then the usage and the end marker."""
         self.set_header('Content-Type', 'text/event-stream')
         self.set_report_headers()
         position = offset
@@ -53,7 +53,7 @@
                 if stream.done:
                     break
                 if stream.cancelled or self.faults.drop:
-                    self.cut()
+                    self.drop_connection()
                 await changed.wait()
             self._write_chunk(stream, position, '', 'length')
             self.write('data: [DONE]\n\n')
@@ -65,7 +65,7 @@
         options = self.faults.options
         if options.get('cut_at') == position:
             options['cut_at'] = None
-            self.cut()
+            self.drop_connection()
         if options.get('skip_at') == position:
             options['skip_at'] = None
             return
@@ -106,7 +106,7 @@
     """`POST /v1/completions` and `/v1/chat/completions`."""
 
     async def post(self) -> None:
-        """Generate and stream."""
+        """Generate and stream a completion."""
         body = self.get_body()
         expected = self.request.headers.get('X-Weight-Version', '')
         refuses = self.faults.refuse or self.engine.loading
@@ -119,11 +119,11 @@
         stream = self._build_stream(body)
         self.engine.submit(stream)
         deadly = self.faults.options.get('deadly')
-        if deadly and deadly.encode() in stream.raw:
-            await asyncio.sleep(DEADLY_SECONDS)
+        if deadly and deadly.encode() in stream.raw_prompt:
+            await asyncio.sleep(CRASH_DELAY)
             self.engine.totals['ended'] += 1
             self.engine.reset()
-            self.cut()
+            self.drop_connection()
         await self.send_pieces(stream, 0)
 
     def _build_stream(self, body: dict[str, Any]) -> scheduler.Stream:
@@ -151,7 +151,7 @@
     """`GET /v1/streams/ID?offset=N` and `POST /v1/streams/ID/cancel`."""
 
     async def get(self, id: str) -> None:
-        """Stream again from an offset."""
+        """Resume a stream from an offset."""
         stream = self.engine.streams.get(id)
         if stream is None or stream.cancelled:
             self.send_error(404)
@@ -159,7 +159,7 @@
         await self.send_pieces(stream, int(self.get_argument('offset', '0')))
 
     def post(self, id: str) -> None:
-        """Cancel."""
+        """Cancel a stream."""
         stream = self.engine.streams.get(id)
         if stream is not None and not stream.done:
             stream.cancelled = True
@@ -169,7 +169,7 @@
 
 
 class Load(EngineHandler):
-    """`GET /load`: the load report, late by the lag."""
+    """`GET /load`: the load report, delayed by the lag."""
 
     def get(self) -> None:
         """Answer with the report."""
@@ -177,10 +177,10 @@
 
 
 class Wanted(EngineHandler):
-    """`PUT /wanted`: an order, which states the wanted state."""
+    """`PUT /wanted`: an order with the desired state."""
 
     async def put(self) -> None:
-        """Take the order; refuse an older fencing number if this engine checks."""
+        """Execute the order; refuse an older fencing number if this engine checks them."""
         body = self.get_body()
         if self.engine.arguments.checks_fencing and body['fence'] < self.engine.fence:
             self.set_status(409)
@@ -195,18 +195,18 @@
             self.engine.cache.clear()
             self.engine.reset()
             self.engine.loading = False
-        self.cut_if_answer_is_lost()
+        self.drop_lost_answer()
         self.write(self.engine.describe())
 
 
 class Counters(EngineHandler):
-    """`GET /_counters`: runs per request id and totals, the oracle of the tests."""
+    """`GET /_counters`: runs by request id and totals, which tests check."""
 
     async def prepare(self) -> None:
-        """Let this call through whatever the faults."""
+        """Ignore all faults."""
 
     def get(self) -> None:
-        """Answer with the counters."""
+        """Return the counters."""
         engine = self.engine
         self.write(
             {
@@ -219,7 +219,7 @@
         )
 
     def post(self) -> None:
-        """Crash and come back empty, or announce leaving."""
+        """Crash and restart empty, or announce that the engine is leaving."""
         body = self.get_body()
         if body.get('crash'):
             self.engine.reset()
@@ -228,13 +228,13 @@
 
 
 def render_chat(messages: list[dict[str, Any]], continued: bool) -> str:
-    """Return the prompt text of chat messages, as the chat template makes it."""
+    """Return the prompt text of chat messages, as rendered by the chat template."""
     text = ''.join(f'<|{m["role"]}|>{m["content"]}' for m in messages)
     return text if continued else text + '<|assistant|>'
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return the stand-in's flags."""
+    """Return the parsed command line."""
     parser = common.build_parser('standin-engine')
     parser.add_argument('--model', default='advisory-7b')
     parser.add_argument('--weight-version', default='v1')
@@ -251,7 +251,7 @@
 
 
 async def run(arguments: argparse.Namespace) -> None:
-    """Serve until told to stop."""
+    """Serve until SIGTERM or SIGINT."""
     faults = common.Faults()
     engine = scheduler.Engine(arguments, faults)
     context = zmq.asyncio.Context()
--- a/passpier/standins/fleets.py
+++ b/passpier/standins/fleets.py
@@ -1,4 +1,4 @@
-"""A small fleet of processes on one machine, for tests and measurements."""
+"""A small fleet of processes on one machine, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Fleet:
-    """A store, a VM list, engines, plain services and daemons."""
+    """The processes of a fleet: a store, a VM list, engines, plain services and daemons."""
 
     def __init__(
         self,
@@ -54,11 +54,11 @@
 
     @property
     def standins(self) -> list[processes.Standin]:
-        """All stand-ins."""
+        """All processes except the daemons."""
         return [self.store, self.vms, *self.engines, *self.services]
 
     def start(self) -> None:
-        """Start everything and put the schema in force."""
+        """Start everything, apply the schema, and wait until the daemons are ready."""
         self.trial.add(*self.standins)
         for standin in self.standins:
             processes.wait_for_port(standin.address)
@@ -71,7 +71,7 @@
         processes.wait_until(self.is_settled, 'shares settled')
 
     def is_settled(self) -> bool:
-        """Return whether all daemons hold their shares of an epoch with all of them."""
+        """Return whether all daemons have settled their shares of an epoch that includes all."""
         for daemon in self.daemons:
             status = daemon.rpc('status')['result']
             alive = [d for d in status['daemons'] if d['alive'] and d['revision']]
@@ -80,12 +80,12 @@
         return True
 
     def apply(self, schema: dict[str, Any], base: int, daemon: int = 0) -> Any:
-        """Apply a schema through a daemon; returns the JSON-RPC answer."""
+        """Apply a schema through a daemon; return the JSON-RPC response."""
         nonce = hashlib.sha256(json.dumps([schema, base]).encode()).hexdigest()
         return self.daemons[daemon].rpc('apply', document=schema, base=base, nonce=nonce)
 
     def build_schema(self) -> dict[str, Any]:
-        """Return a schema of two model services and a plain one."""
+        """Return a schema with two model services and a plain one."""
         engine_pool = [
             {
                 'name': e.name,
@@ -136,7 +136,7 @@
         return path
 
     def complete(self, daemon: int, prompt: str, tokens: int = 8, **fields: Any) -> Answer:
-        """Ask a daemon for a streamed completion."""
+        """Request a streamed completion from a daemon."""
         return complete(self.daemons[daemon].entry, prompt, tokens, **fields)
 
     def call_service(
@@ -151,12 +151,12 @@
         return Answer(*processes.call(method, url, body, headers))
 
     def count_runs(self, key: str) -> int:
-        """Return how often the plain services ran a key."""
+        """Return how often the plain services ran an idempotency key."""
         return sum(s.get('/_runs').get(key, 0) for s in self.services)
 
 
 class Answer:
-    """An HTTP answer, with what a streamed completion says."""
+    """An HTTP response, with the parsed chunks of a streamed completion."""
 
     def __init__(self, status: int, headers: dict[str, str], body: bytes) -> None:
         self.status = status
@@ -168,37 +168,37 @@
 
     @property
     def text(self) -> str:
-        """The text of all chunks."""
+        """The concatenated text of all chunks."""
         return ''.join(c['choices'][0]['text'] for c in self.chunks if 'choices' in c)
 
     @property
     def error(self) -> dict[str, Any]:
-        """The error of a refusal or a broken stream."""
+        """The error of a refusal or of a broken stream."""
         if self.chunks:
             return self.chunks[-1].get('error', {})
         return json.loads(self.body).get('error', {})
 
     @property
     def cached(self) -> int:
-        """The cached tokens that the usage names."""
+        """The number of cached tokens in the usage."""
         return self.chunks[-1]['usage']['prompt_tokens_details']['cached_tokens']
 
 
 def complete(entry: str, prompt: str, tokens: int = 8, **fields: Any) -> Answer:
-    """Ask an entry for a streamed completion."""
+    """Request a streamed completion from an entry address."""
     body = {'model': 'flag', 'prompt': prompt, 'max_tokens': tokens, 'stream': True, **fields}
     url = f'http://{entry}/v1/completions'
     return Answer(*processes.call('POST', url, body, make_headers()))
 
 
 def make_headers(key: str = KEYS['tower']) -> dict[str, str]:
-    """Return the headers of a caller."""
+    """Return the request headers of a caller."""
     return {'Authorization': f'Bearer {key}', 'Content-Type': 'application/json'}
 
 
 @contextlib.contextmanager
 def run_fleet(**options: Any) -> Iterator[Fleet]:
-    """Yield a started fleet and end its processes afterwards."""
+    """Yield a started fleet; kill its processes at the end of the context."""
     with processes.run_trial() as trial:
         fleet = Fleet(trial, **options)
         fleet.start()
--- a/passpier/standins/microbenchmarks.py
+++ b/passpier/standins/microbenchmarks.py
@@ -1,4 +1,4 @@
-"""Measures, within one process, what one more replica, block, event or member costs."""
+"""Measures, within one process, the cost of an additional replica, block, event or member."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 BLOCK_TOKENS = 64
 
 
-def show(name: str, **figures: Any) -> None:
-    """Print one line."""
+def print_result(name: str, **figures: Any) -> None:
+    """Print one result as a JSON line."""
     print(json.dumps({'slope': name, **figures}), flush=True)
 
 
 def time_us(action: Callable[[], Any], seconds: float = 0.3) -> float:
-    """Return the median microseconds of one call over repeated rounds."""
+    """Return the median time of a call in microseconds."""
     action()
     rounds: list[float] = []
     end = time.perf_counter() + seconds
@@ -44,23 +44,23 @@
 
 
 def measure_decisions() -> None:
-    """Cost of a routing decision by replicas and prompt length."""
+    """Measure a routing decision by number of replicas and prompt length."""
     for tokens in (8_000, 128_000):
         data = random.Random(1).randbytes(tokens * blocks.BYTES_PER_TOKEN)
         root = blocks.compute_root(SCOPE)
         chain = blocks.compute_chain(root, data, BLOCK_TOKENS)
         chain_us = time_us(functools.partial(blocks.compute_chain, root, data, BLOCK_TOKENS))
-        show('prompt_identity', prompt_tokens=tokens, us=chain_us)
+        print_result('prompt_identity', prompt_tokens=tokens, us=chain_us)
         for count in (5, 50, 670):
             pool, cache = build_pool(count, chain)
             job = choice.Job(chain, BLOCK_TOKENS, tokens)
             policy = choice.CostPolicy()
             us = time_us(functools.partial(choice.choose, job, pool, cache, policy, 1.0))
-            show('routing_decision', replicas=count, prompt_tokens=tokens, us=us)
+            print_result('routing_decision', replicas=count, prompt_tokens=tokens, us=us)
 
 
 def build_pool(count: int, chain: list[int]) -> tuple[list[replicas.Replica], view.CacheView]:
-    """Return replicas of which a few hold parts of the chain."""
+    """Return replicas, a tenth of which hold parts of the chain."""
     cache = view.CacheView(10_000_000)
     pool = []
     for number in range(count):
@@ -75,7 +75,7 @@
 
 
 def measure_events() -> None:
-    """Cost of cache events, one block a message and 32 blocks a message."""
+    """Measure cache events with one block and with 32 blocks a message."""
     for batch in (1, 32):
         payloads = build_events(batch, 400)
         size = sum(map(len, payloads)) / len(payloads) / batch
@@ -86,7 +86,9 @@
                 feed.take(b'kv@boot@advisory-7b', feed.next_sequence, payload)
 
         us = time_us(take) / len(payloads) / batch
-        show('cache_event', blocks_a_message=batch, us_a_block=round(us, 2), bytes_a_block=size)
+        print_result(
+            'cache_event', blocks_a_message=batch, us_a_block=round(us, 2), bytes_a_block=size
+        )
 
 
 def build_events(batch: int, count: int) -> list[bytes]:
@@ -103,7 +105,7 @@
 
 
 def build_feed() -> events.Feed:
-    """Return a feed of an engine whose incarnation is known."""
+    """Return an event feed of an engine with a known incarnation."""
     upstream = declarations.Upstream(name='e', address='127.0.0.1:1', vm='v', failure_domain='d')
     model = declarations.Model(name='advisory-7b', weight_version='v1', block_tokens=BLOCK_TOKENS)
     client = web.Client()
@@ -116,15 +118,15 @@
 
 
 def measure_view() -> None:
-    """Memory of a block in view, and of an account's share and an idempotency key."""
+    """Measure the memory of a block in the view, of an account and of its share."""
     rng = random.Random(3)
-    show('view_memory', bytes_a_block=measure_bytes(lambda n: fill_view(rng, n), 100_000))
-    show('account_memory', bytes_an_account=measure_bytes(build_directory, 5_000))
-    show('share_memory', bytes_an_account=measure_bytes(fill_shares, 5_000))
+    print_result('view_memory', bytes_a_block=measure_bytes(lambda n: fill_view(rng, n), 100_000))
+    print_result('account_memory', bytes_an_account=measure_bytes(build_directory, 5_000))
+    print_result('share_memory', bytes_an_account=measure_bytes(fill_shares, 5_000))
 
 
 def measure_bytes(build: Callable[[int], Any], count: int) -> float:
-    """Return the bytes that one of `count` items takes."""
+    """Return the mean memory in bytes of `count` items."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -152,7 +154,7 @@
 
 
 def fill_shares(count: int) -> shares.ShareBook:
-    """Return a book with `count` accounts in use; the limits themselves are counted."""
+    """Return a share book with `count` accounts in use, including their limits."""
     limits = {f'account-{n}': shares.Limit(16, 100_000) for n in range(count)}
     holders = {f'i{n}': shares.Holder(f'vm-{n}', f'd{n % 7}') for n in range(8)}
     book = shares.ShareBook('i0')
@@ -163,7 +165,7 @@
 
 
 def measure_heartbeats() -> None:
-    """Bytes and processor time of heartbeats by members."""
+    """Measure size and processor time of heartbeats by number of members."""
     for count in (8, 60, 420):
         fleet = [build_member(n) for n in range(count)]
         mine = members.Membership(fleet[0], 1.0, 0.0)
@@ -175,7 +177,7 @@
         send_us = time_us(functools.partial(encode_heartbeat, mine, rng))
         take_us = time_us(functools.partial(take_heartbeat, mine, data))
         rate = members.FANOUT
-        show(
+        print_result(
             'heartbeat',
             members=count,
             bytes_a_message=len(data),
@@ -187,7 +189,7 @@
 
 
 def build_member(number: int) -> members.Member:
-    """Return a member with an incarnation of true length."""
+    """Return a member with an incarnation of realistic length."""
     incarnation = f'{number:032x}'
     return members.Member(f'vm-{number}', incarnation, '10.0.0.1', 8080, 8082, f'd{number % 7}')
 
@@ -207,7 +209,7 @@
 
 
 def measure_spread() -> None:
-    """Rounds of pushes until all of 420 members know a new revision."""
+    """Measure the rounds of pushes until all of 420 members know a new revision."""
     rng = random.Random(5)
     rounds = []
     for _ in range(50):
@@ -222,11 +224,11 @@
             if not frontier:
                 frontier = set(informed)
         rounds.append(count)
-    show('revision_spread', members=420, fanout=8, rounds_median=statistics.median(rounds))
+    print_result('revision_spread', members=420, fanout=8, rounds_median=statistics.median(rounds))
 
 
 def measure_detection() -> None:
-    """Gossip among 420 members, one in twenty messages lost: detection and false alarms."""
+    """Measure failure detection and false alarms of 420 members, with 1 of 20 messages lost."""
     rng = random.Random(6)
     fleet = [build_member(n) for n in range(420)]
     daemons = [members.Membership(m, 1.0, 0.0) for m in fleet]
@@ -251,7 +253,7 @@
                 times.append(beat - 20)
         wrong += 420 - len(alive) - sum(name not in alive for name in found)
     times = [t for many in found.values() for t in many]
-    show(
+    print_result(
         'death_detection',
         members=420,
         beats_median=statistics.median(times),
@@ -262,7 +264,7 @@
 
 
 def measure_limits() -> None:
-    """Share of a limit of 60 units that stays usable over three daemons."""
+    """Measure the usable share of a limit of 60 units among three daemons."""
     names = ['i0', 'i1', 'i2']
     holders = {n: shares.Holder(f'vm-{n}', n) for n in names}
     grant = shares.Grant(
@@ -282,16 +284,16 @@
         local = count_units(books['i0'], [], now)
         lenders = [books[n] for n in reachable if n != 'i0']
         usable = local + count_units(books['i0'], lenders, now)
-        show('limit_usable', case=case, local_only=local / 60, with_borrowing=usable / 60)
+        print_result('limit_usable', case=case, local_only=local / 60, with_borrowing=usable / 60)
 
 
 def get_confirmed(books: dict[str, shares.ShareBook], name: str) -> shares.Generation:
-    """Return what a daemon has confirmed."""
+    """Return the generation that a daemon can confirm."""
     return books[name].get_confirmable()
 
 
 def count_units(own: shares.ShareBook, lenders: list[shares.ShareBook], now: float) -> int:
-    """Return how many units a daemon gets, its own or those of lenders."""
+    """Return how many units a daemon gets, its own ones or those of lenders."""
     if not lenders:
         return sum(own.acquire('a', now) for _ in range(100))
     return sum(
@@ -302,7 +304,7 @@
 
 
 def measure_configuration() -> None:
-    """Bytes and store calls of a configuration change, by accounts."""
+    """Measure bytes and store calls of a configuration change by number of accounts."""
     for accounts in (8, 34_000):
         document = build_document(accounts)
 
@@ -313,7 +315,7 @@
 
         calls, size = asyncio.run(change())
         parse_us = time_us(functools.partial(install_document, document))
-        show(
+        print_result(
             'configuration_change',
             accounts=accounts,
             document_bytes=len(document),
@@ -334,7 +336,7 @@
 
 
 def build_document(accounts: int) -> bytes:
-    """Return a configuration of that many accounts."""
+    """Return a configuration document with `accounts` accounts."""
     fleet = schema.Fleet(
         fleet='f',
         accounts=tuple(
@@ -345,12 +347,12 @@
 
 
 def install_document(document: bytes) -> directory.Directory:
-    """Return the directory of a document, as a daemon makes it."""
+    """Return the directory of a document, as built by a daemon."""
     return directory.Directory(declarations.decode_fleet(document), 1)
 
 
 class CountingStore(store.MemoryStore):
-    """Counts calls and bytes."""
+    """In-memory store that counts calls and written bytes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -370,7 +372,7 @@
 
 
 async def measure_in_process() -> None:
-    """Measure what needs no process; within a loop, since clients want one."""
+    """Run the benchmarks that need no other process, in an event loop that clients require."""
     measure_decisions()
     measure_events()
     measure_view()
--- a/passpier/standins/network.py
+++ b/passpier/standins/network.py
@@ -1,4 +1,4 @@
-"""Links between daemons of one event loop, in place of sockets."""
+"""Simulated network between daemons in one event loop, in place of sockets."""
 
 from __future__ import annotations
 
@@ -12,26 +12,30 @@
 
 
 class Network:
-    """Links between daemons of one event loop; messages are delayed, lost, or cut off."""
+    """Links between daemons in one event loop, which delay or lose messages."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.loss = 0.0
+        """Probability that a message is lost."""
+
         self.delay = (0.0005, 0.005)
-        """Least and longest way of a message, in seconds."""
+        """Minimum and maximum delay of a message in seconds."""
 
         self.links: dict[str, Link] = {}
         self.cut: set[str] = set()
+        """Addresses of isolated daemons, which neither send nor receive messages."""
+
         self.carried = 0
-        """Messages that were sent."""
+        """Number of messages that were sent."""
 
     def connect(self, member: members.Member) -> Link:
-        """Return a daemon's link."""
+        """Create the link of a daemon."""
         link = self.links[member.peer] = Link(self, member)
         return link
 
     def carry(self, source: Link, address: str, message: Any) -> None:
-        """Deliver a message later, or never."""
+        """Deliver a message after a random delay, or lose it."""
         self.carried += 1
         if self.rng.random() < self.loss or {source.address, address} & self.cut:
             return
@@ -50,7 +54,7 @@
 
 
 class Link:
-    """Has the methods of `peers.Peers` that the tasks use."""
+    """A daemon's end of the network, with the methods of `peers.Peers` that its tasks use."""
 
     def __init__(self, network: Network, member: members.Member) -> None:
         self.network = network
@@ -59,15 +63,15 @@
         self.handlers: dict[type, Callable[..., Any]] = {}
 
     def handle(self, kind: type, handler: Callable[..., Any]) -> None:
-        """Have messages of one type handled."""
+        """Register the handler of a message type."""
         self.handlers[kind] = handler
 
     def send_all(self, addresses: Iterable[str], message: messages.Message) -> None:
-        """Send one message to several peers."""
+        """Send a message to several peers."""
         for address in addresses:
             self.send(address, message)
 
     def send(self, address: str, message: messages.Message) -> None:
-        """Send without waiting."""
+        """Send a message without waiting for its delivery."""
         if address != self.address:
             self.network.carry(self, address, message)
--- a/passpier/standins/platform/metastore.py
+++ b/passpier/standins/platform/metastore.py
@@ -181,13 +181,13 @@
     async def prepare(self) -> None:
         await asyncio.sleep(self.faults.delay)
         if self.faults.down:
-            self.cut()
+            self.drop_connection()
         if self.faults.refuse:
             self.faults.refuse -= 1
             self.set_status(429)
             raise tornado.web.Finish
 
-    def cut(self) -> None:
+    def drop_connection(self) -> None:
         self.request.connection.stream.close()  # type: ignore[union-attr]
         raise tornado.web.Finish
 
@@ -215,7 +215,7 @@
         ends_at = loop.time() + int(self.get_argument('wait_ms')) / 1000
         while True:
             if self.faults.down:
-                self.cut()
+                self.drop_connection()
             events = self.store.list_changes(prefix, after)
             if events is None:
                 self.set_status(410)
@@ -235,11 +235,11 @@
             self.faults.late_effects -= 1
             loop = asyncio.get_running_loop()
             loop.call_later(self.faults.late_by, self.store.transact, body)
-            self.cut()
+            self.drop_connection()
         status, answer = self.store.transact(body)
         if self.faults.lose_answers:
             self.faults.lose_answers -= 1
-            self.cut()
+            self.drop_connection()
         self.set_status(status)
         self.write(answer)
 
--- a/passpier/standins/processes.py
+++ b/passpier/standins/processes.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of a trial: stand-ins and daemons, by the quickstart and tests."""
+"""Starts and stops processes of stand-ins and daemons, for the quickstart and tests."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 PORT_BLOCK = 100
-"""Ports that one process takes from at a time; test runs beside each other take hundreds each."""
+"""Size of the blocks of ports that a process reserves; parallel test runs need hundreds each."""
 
-_claims: list[socket.socket] = []
-"""Sockets at the first ports of the blocks that this process takes from, bound until it ends."""
+_port_claims: list[socket.socket] = []
+"""Sockets bound to the first port of each block that this process has reserved, until it exits."""
 
 
 def _claim_ports() -> Iterator[int]:
-    """Yield the ports of one block after the other that no other process takes from."""
+    """Yield the ports of one block after the other that no other process has reserved."""
     starts = list(range(FIRST_PORT, LAST_PORT, PORT_BLOCK))
     random.Random(os.getpid()).shuffle(starts)
     for start in starts:
@@ -48,7 +48,7 @@
         except OSError:
             claim.close()
             continue
-        _claims.append(claim)
+        _port_claims.append(claim)
         yield from range(start + 1, start + PORT_BLOCK)
 
 
@@ -58,8 +58,8 @@
 def pick_port() -> int:
     """Return a port that is free now.
 
-    It lies below the range from which the system takes ports for outgoing connections, as one of
-    those could otherwise take it before it is bound.
+    It is below the system's range of ephemeral ports, since an outgoing connection could otherwise
+    take it before it is bound.
     """
     for port in _ports:
         with socket.socket() as probe, contextlib.suppress(OSError):
@@ -75,7 +75,7 @@
     headers: dict[str, str] | None = None,
     timeout: float = 30.0,
 ) -> tuple[int, dict[str, str], bytes]:
-    """Return status, headers and body of an HTTP call; raises `OSError` without an answer."""
+    """Return status, headers and body of an HTTP call; raises `OSError` without a response."""
     data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
     request = urllib.request.Request(url, data, headers or {}, method=method)
     try:
@@ -86,7 +86,7 @@
 
 
 class Process:
-    """One process with its log file."""
+    """A process with its log file."""
 
     def __init__(self, name: str, arguments: list[str], folder: pathlib.Path) -> None:
         self.name = name
@@ -112,29 +112,29 @@
         self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         self.popen.kill()
         self.popen.wait()
 
     def stop(self, timeout: float = STOP_SECONDS) -> int:
-        """Ask the process to stop and return its exit code."""
+        """Terminate the process with SIGTERM and return its exit code."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.terminate()
         return self.popen.wait(timeout)
 
     def read_log(self) -> str:
-        """Return what the process has written."""
+        """Return the output of the process."""
         return self.log.read_text(errors='replace')
 
     def list_events(self, event: str) -> list[dict[str, Any]]:
-        """Return the JSON log lines of one event."""
+        """Return the JSON log lines with an event."""
         lines = [line for line in self.read_log().splitlines() if line.startswith('{')]
         return [entry for line in lines if (entry := json.loads(line)).get('event') == event]
 
 
 class Standin(Process):
-    """A stand-in with an HTTP port."""
+    """The process of a stand-in with an HTTP port."""
 
     def __init__(
         self, name: str, module: str, folder: pathlib.Path, arguments: list[str] | None = None
@@ -145,20 +145,20 @@
         super().__init__(name, flags, folder)
 
     def set_faults(self, **faults: Any) -> None:
-        """Switch faults."""
+        """Set fault switches."""
         call('POST', f'http://{self.address}/faults', faults)
 
     def get(self, path: str) -> Any:
-        """Return the JSON answer of a path."""
+        """Return the JSON response of a path."""
         return json.loads(call('GET', f'http://{self.address}{path}')[2])
 
     def post(self, path: str, body: Any) -> Any:
-        """Post JSON to a path."""
+        """Post JSON to a path and return the JSON response."""
         return json.loads(call('POST', f'http://{self.address}{path}', body)[2])
 
 
 class EngineProcess(Standin):
-    """A stand-in engine."""
+    """The process of a stand-in engine."""
 
     def __init__(self, name: str, folder: pathlib.Path, arguments: list[str] | None = None) -> None:
         self.events = f'127.0.0.1:{pick_port()}'
@@ -172,12 +172,12 @@
         super().__init__(name, 'engine', folder, [*ports, *(arguments or [])])
 
     def get_counters(self) -> Any:
-        """Return the engine's own counts."""
+        """Return the counters of the engine."""
         return self.get('/_counters')
 
 
 class DaemonProcess(Process):
-    """A `passpierd`."""
+    """A `passpierd` process."""
 
     def __init__(
         self,
@@ -202,13 +202,13 @@
         super().__init__(name, ['passpier.daemon.main', *flags, *(arguments or [])], folder)
 
     def rpc(self, method: str, **parameters: Any) -> Any:
-        """Call an operators' procedure; returns the whole JSON-RPC answer."""
+        """Call a procedure of the operators' API; return the complete JSON-RPC response."""
         body = {'jsonrpc': '2.0', 'id': 1, 'method': method, 'params': parameters}
         headers = {'Authorization': f'Bearer {SECRET}'}
         return json.loads(call('POST', f'http://{self.operators}/rpc', body, headers)[2])
 
     def is_ready(self) -> bool:
-        """Return whether the daemon serves with a configuration."""
+        """Return whether the daemon has a configuration and is ready to serve."""
         try:
             return call('GET', f'http://{self.entry}/readyz', timeout=2)[0] == 200
         except OSError:
@@ -216,20 +216,20 @@
 
 
 class Trial:
-    """Processes that start and end together."""
+    """A group of processes that are killed together."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
         self.processes: list[Process] = []
 
     def add(self, *added: Process) -> None:
-        """Start processes."""
+        """Start processes and add them to the group."""
         for process in added:
             self.processes.append(process)
             process.start()
 
     def stop(self) -> None:
-        """End whatever still runs."""
+        """Kill all processes that are still running."""
         for process in self.processes:
             if process.popen.poll() is None:
                 process.popen.send_signal(signal.SIGCONT)
@@ -238,7 +238,7 @@
 
 @contextlib.contextmanager
 def run_trial() -> Iterator[Trial]:
-    """Yield a trial whose processes are ended afterwards."""
+    """Yield a trial; kill its processes at the end of the context."""
     with tempfile.TemporaryDirectory(prefix='passpier-') as folder:
         trial = Trial(pathlib.Path(folder))
         try:
@@ -248,7 +248,7 @@
 
 
 def wait_until(condition: Any, what: str, timeout: float = START_SECONDS) -> None:
-    """Return once `condition()` is true; raises `TimeoutError`."""
+    """Wait until `condition()` is true; raises `TimeoutError`."""
     end = clocks.now() + timeout
     while clocks.now() < end:
         with contextlib.suppress(OSError):
@@ -259,7 +259,7 @@
 
 
 def wait_for_port(address: str) -> None:
-    """Return once something listens at an address."""
+    """Wait until a process listens at an address."""
     host, _, port = address.rpartition(':')
 
     def connect() -> bool:
@@ -272,7 +272,7 @@
 def write_schema(
     folder: pathlib.Path, example: str, addresses: dict[str, dict[str, Any]]
 ) -> pathlib.Path:
-    """Write an example schema file with other upstream addresses, by upstream name."""
+    """Write an example schema file with the fields of upstreams replaced, by upstream name."""
     document = yaml.safe_load(pathlib.Path(example).read_text())
     for pool in document['pools']:
         for upstream in pool['upstreams']:
--- a/passpier/standins/quickstart.py
+++ b/passpier/standins/quickstart.py
@@ -1,4 +1,4 @@
-"""Runs the main job once, end to end, as separate processes; used by `make quickstart`."""
+"""Runs the main use case once, end to end, with separate processes; used by `make quickstart`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def main() -> None:
-    """Start everything, ask twice, show why the second answer hit the cache, stop."""
+    """Start everything, send two requests, explain the cache hit of the second one, stop."""
     with processes.run_trial() as trial:
         daemons = start(trial)
         apply(trial, daemons[0])
@@ -51,7 +51,7 @@
 
 
 def apply(trial: processes.Trial, daemon: processes.DaemonProcess) -> None:
-    """Put the example in force through the command line."""
+    """Apply the example configuration through the command line."""
     addresses = {}
     for process in trial.processes:
         if isinstance(process, processes.EngineProcess):
@@ -72,7 +72,7 @@
 
 
 def ask(daemon: processes.DaemonProcess, prompt: str) -> str:
-    """Ask for a streamed answer, print it, and return its request id."""
+    """Request a streamed completion, print it, and return its request id."""
     body = {'model': 'hazard-flag', 'prompt': prompt, 'max_tokens': 12, 'stream': True}
     status, headers, data = processes.call(
         'POST',
@@ -91,7 +91,7 @@
 
 
 def explain(daemon: processes.DaemonProcess, request: str) -> None:
-    """Print a request's decisions."""
+    """Print the routing decisions of a request."""
     done = processes.run_cli(daemon, 'explain', request)
     print(f'$ passpier explain {request}\n{done.stdout}{done.stderr}')
 
--- a/passpier/standins/scheduler.py
+++ b/passpier/standins/scheduler.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's scheduler: a time model of prefill and decode over a block cache."""
+"""Scheduler of the stand-in engine: a time model of prefill and decoding with a block cache."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 from passpier.standins import cache as block_cache
 from passpier.standins import common
 
-RETENTION = 10.0
-"""Seconds for which a cut stream can be resumed."""
+STREAM_RETENTION = 10.0
+"""Seconds after its end for which a stream can be resumed."""
 
 
 @dataclasses.dataclass
 class Stream:
-    """One generation: its pieces so far, and who waits for more."""
+    """A generation with its pieces so far, and an event for the next one."""
 
     id: str
     prompt: bytes
-    raw: bytes
+    raw_prompt: bytes
     salt: str
     max_tokens: int
     priority: int
@@ -43,13 +43,13 @@
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     def wake(self) -> None:
-        """Tell the readers that there is more."""
+        """Notify the readers of a change."""
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 class Engine:
-    """Scheduler, cache and counters of one engine incarnation."""
+    """Scheduler, cache and counters of an engine; `reset` starts a new incarnation."""
 
     def __init__(self, arguments: argparse.Namespace, faults: common.Faults) -> None:
         self.arguments = arguments
@@ -80,7 +80,7 @@
         self.waiting: list[tuple[int, float, Stream]] = []
         self.running = 0
         self.backlog = 0
-        self.arrived = asyncio.Event()
+        self.work_available = asyncio.Event()
 
     def submit(self, stream: Stream) -> None:
         """Queue a generation."""
@@ -88,15 +88,15 @@
         self.runs[stream.id] += 1
         self.backlog += blocks.count_tokens(stream.prompt)
         heapq.heappush(self.waiting, (stream.priority, clocks.now(), stream))
-        self.arrived.set()
+        self.work_available.set()
 
     async def schedule(self) -> None:
         """Prefill one prompt at a time while a slot is free."""
         while True:
             if not self.waiting or self.running >= self.arguments.slots or self.faults.frozen:
-                self.arrived.clear()
+                self.work_available.clear()
                 try:
-                    await asyncio.wait_for(self.arrived.wait(), 0.05)
+                    await asyncio.wait_for(self.work_available.wait(), 0.05)
                 except TimeoutError:
                     continue
                 continue
@@ -111,7 +111,7 @@
                 asyncio.get_running_loop().create_task(self.decode(stream, incarnation))
 
     async def prefill(self, stream: Stream) -> None:
-        """Compute what the cache lacks."""
+        """Compute the part of the prompt that is not cached."""
         stream.cached = self.cache.count_cached(stream.chain)
         cached_tokens = stream.cached * self.arguments.block_tokens
         tokens = blocks.count_tokens(stream.prompt)
@@ -122,8 +122,8 @@
             self.cache.store(stream.chain, stream.cached, stream.prompt, stream.salt)
 
     async def decode(self, stream: Stream, incarnation: str) -> None:
-        """Emit one piece a step."""
-        state = xxhash.xxh64(stream.raw)
+        """Generate one piece for each step."""
+        state = xxhash.xxh64(stream.raw_prompt)
         while len(stream.pieces) < stream.max_tokens and not stream.cancelled:
             piece = f' {state.intdigest() % 4096:03x}'
             state.update(piece.encode())
@@ -136,18 +136,18 @@
         stream.wake()
         if incarnation == self.incarnation:
             self.running -= 1
-            self.arrived.set()
+            self.work_available.set()
             loop = asyncio.get_running_loop()
-            loop.call_later(RETENTION, self.streams.pop, stream.id, None)
+            loop.call_later(STREAM_RETENTION, self.streams.pop, stream.id, None)
 
     async def finish_running(self) -> None:
-        """Take no more requests and wait for those that run."""
+        """Stop accepting requests and wait for the running ones."""
         self.loading = True
         while any(not s.done and not s.cancelled for s in self.streams.values()):
             await asyncio.sleep(0.01)
 
     def describe(self) -> dict[str, Any]:
-        """Return the load as it is now."""
+        """Return the current load."""
         return {
             'incarnation': self.incarnation,
             'weight_version': self.version,
@@ -161,25 +161,25 @@
         }
 
     async def sample(self) -> None:
-        """Keep load reports, so that they can be given late."""
+        """Record load reports, so that they can be reported with a lag."""
         while True:
             self.reports.append((clocks.now(), self.describe()))
-            while len(self.reports) > 2 and self.reports[1][0] <= self.get_horizon():
+            while len(self.reports) > 2 and self.reports[1][0] <= self.get_report_time():
                 self.reports.popleft()
             await asyncio.sleep(0.02)
 
-    def get_horizon(self) -> float:
-        """Return the time that reports speak of."""
+    def get_report_time(self) -> float:
+        """Return the time that the current load report describes."""
         return clocks.now() - self.arguments.load_lag
 
     def report(self) -> dict[str, Any]:
-        """Return the load as it was a lag ago; identity is always current."""
+        """Return the load report with the lag; its identity and leaving flag are current."""
         late = self.reports[0][1] if self.reports else self.describe()
         current = self.describe()
         return {**late, **{k: current[k] for k in ('incarnation', 'weight_version', 'leaving')}}
 
     async def publish(self, publisher: zmq.asyncio.Socket) -> None:
-        """Publish cache events, late and with gaps as the faults say."""
+        """Publish cache events, with the delay and gaps set by the faults."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(0.02)
@@ -197,7 +197,7 @@
             loop.call_later(lag, publisher.send_multipart, frames)
 
     async def replay(self, router: zmq.asyncio.Socket) -> None:
-        """Answer requests for events from a sequence number on."""
+        """Answer requests to replay events from a sequence number on."""
         while True:
             frames = await router.recv_multipart()
             start = int.from_bytes(frames[-1], 'big')
--- a/passpier/standins/service.py
+++ b/passpier/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service that counts each run per idempotency key."""
+"""Stand-in for a plain service that counts the runs of each idempotency key."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Call(common.Handler):
-    """Any path: runs, counts, and answers."""
+    """Handles every other path: counts the run and answers."""
 
     runs: collections.Counter[str]
 
     async def post(self) -> None:
-        """Count a run of the key, take the set time, answer."""
+        """Count a run of the key, sleep for the configured time, answer."""
         key = self.request.headers.get('Idempotency-Key', '')
         self.runs[key] += 1
         await asyncio.sleep(float(self.faults.options.get('work', 0.0)))
-        self.cut_if_answer_is_lost()
+        self.drop_lost_answer()
         padding = 'x' * int(self.faults.options.get('padding', 0))
         answer = {'path': self.request.uri, 'key': key, 'run': self.runs[key]}
         self.write({**answer, 'padding': padding} if padding else answer)
@@ -27,12 +27,12 @@
 
 
 class Runs(common.Handler):
-    """Shows the runs per key: the oracle of the at-most-once tests."""
+    """Returns the number of runs by key, which the at-most-once tests check."""
 
     runs: collections.Counter[str]
 
     async def prepare(self) -> None:
-        """Let this call through whatever the faults."""
+        """Ignore all faults."""
 
     def get(self) -> None:
         """Answer with the counts."""
--- a/passpier/standins/slopes.py
+++ b/passpier/standins/slopes.py
@@ -1,4 +1,4 @@
-"""Measures what one more replica, block, event, peer or request costs; prints JSON lines."""
+"""Measures the cost of an additional replica, block, event, peer or request as JSON lines."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def measure_claims() -> None:
-    """Added latency of claims against a store process, by claims at once."""
+    """Measure the latency of claims in a store process by number of concurrent claims."""
     with processes.run_trial() as trial:
         standin = processes.Standin('store', 'store', trial.folder)
         trial.add(standin)
         processes.wait_for_port(standin.address)
         for group in (1, 16, 64, 256):
             latencies, calls = asyncio.run(claim_many(standin, group))
-            microbenchmarks.show(
+            microbenchmarks.print_result(
                 'claim',
                 at_once=group,
                 p50_ms=round(statistics.median(latencies) * 1e3, 2),
@@ -36,7 +36,7 @@
 
 
 async def claim_many(standin: processes.Standin, group: int) -> tuple[list[float], int]:
-    """Return the latencies of claims made `group` at once, and the store calls they took."""
+    """Return the latencies of claims, `group` at a time, and the number of store calls."""
     client = web.Client()
     claimer = once.Claimer(
         store.EtcdStore([standin.address], client),
@@ -60,35 +60,35 @@
 
 
 def measure_daemon() -> None:
-    """Latency that a daemon adds to an engine call, and requests a second of one daemon."""
+    """Measure the latency that a daemon adds to an engine call, and its requests a second."""
     flags = ['--decode-ms', '0.1', '--prefill-rate', '100000000', '--slots', '200']
     with fleets.run_fleet(daemons=1, engines=2, services=0, engine_flags=flags) as fleet:
         direct = asyncio.run(time_calls(fleet.engines[0].address, 1, 200))
         through = asyncio.run(time_calls(fleet.daemons[0].entry, 1, 200))
-        microbenchmarks.show(
+        microbenchmarks.print_result(
             'added_latency',
-            p50_ms=round((pick(direct, 50) - pick(through, 50)) * -1e3, 2),
-            p99_ms=round((pick(direct, 99) - pick(through, 99)) * -1e3, 2),
+            p50_ms=round((get_percentile(direct, 50) - get_percentile(through, 50)) * -1e3, 2),
+            p99_ms=round((get_percentile(direct, 99) - get_percentile(through, 99)) * -1e3, 2),
         )
         began = time.perf_counter()
         load = asyncio.run(time_calls(fleet.daemons[0].entry, 16, 1500))
         seconds = time.perf_counter() - began
-        microbenchmarks.show(
+        microbenchmarks.print_result(
             'daemon_throughput', requests_a_second=round(len(load) / seconds), at_once=16
         )
 
 
 def measure_relay() -> None:
-    """Processor time of a daemon for each streamed token and each request."""
+    """Measure the processor time of a daemon for each streamed token and each request."""
     flags = ['--decode-ms', '2', '--prefill-rate', '100000000', '--slots', '200']
     with fleets.run_fleet(daemons=1, engines=4, services=0, engine_flags=flags) as fleet:
         daemon = fleet.daemons[0]
         spent = []
         for tokens, count in ((1, 400), (401, 40)):
-            before = read_process(daemon)[0]
+            before = read_process_usage(daemon)[0]
             asyncio.run(time_calls(daemon.entry, 8, count, tokens))
-            spent.append((read_process(daemon)[0] - before) / count)
-        microbenchmarks.show(
+            spent.append((read_process_usage(daemon)[0] - before) / count)
+        microbenchmarks.print_result(
             'relay',
             us_a_request=round(spent[0] * 1e6),
             us_a_token=round((spent[1] - spent[0]) / 400 * 1e6, 1),
@@ -96,7 +96,7 @@
 
 
 async def time_calls(address: str, at_once: int, count: int, tokens: int = 1) -> list[float]:
-    """Return the seconds that whole answers took."""
+    """Return the times of complete responses in seconds."""
     client = web.Client()
     left = list(range(count))
     times = []
@@ -125,16 +125,16 @@
 
 
 def measure_idle() -> None:
-    """Control cost of a daemon without requests: processor share, bytes and memory."""
+    """Measure processor share, peer traffic and memory of daemons without requests."""
     for count in (2, 8):
         with fleets.run_fleet(
             daemons=count, engines=5, services=0, daemon_flags=['--heartbeat', '1']
         ) as fleet:
-            first = read_process(fleet.daemons[0])
+            first = read_process_usage(fleet.daemons[0])
             began = clocks.now()
             processes.wait_until(functools.partial(is_past, began + 10), 'idle', 15)
-            second = read_process(fleet.daemons[0])
-        microbenchmarks.show(
+            second = read_process_usage(fleet.daemons[0])
+        microbenchmarks.print_result(
             'idle_daemon',
             daemons=count,
             processor_percent=round((second[0] - first[0]) * 10, 2),
@@ -144,11 +144,11 @@
 
 
 def is_past(moment: float) -> bool:
-    """Return whether a moment of the monotonic clock is past."""
+    """Return whether a time of the monotonic clock has passed."""
     return clocks.now() > moment
 
 
-def read_process(daemon: processes.DaemonProcess) -> tuple[float, float, float]:
+def read_process_usage(daemon: processes.DaemonProcess) -> tuple[float, float, float]:
     """Return processor seconds, peer bytes and resident bytes of a daemon."""
     page = processes.call('GET', f'http://{daemon.entry}/metrics')[2].decode()
     figures = {'processor': 0.0, 'bytes': 0.0}
@@ -162,13 +162,13 @@
     return figures['processor'], figures['bytes'], resident
 
 
-def pick(values: list[float], percentile: int) -> float:
-    """Return a percentile."""
+def get_percentile(values: list[float], percentile: int) -> float:
+    """Return a percentile of the values."""
     return sorted(values)[min(len(values) - 1, len(values) * percentile // 100)]
 
 
 def main() -> None:
-    """Measure everything."""
+    """Run all measurements."""
     asyncio.run(microbenchmarks.measure_in_process())
     microbenchmarks.measure_configuration()
     measure_claims()
--- a/passpier/standins/store.py
+++ b/passpier/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's key-value service: the etcd v3 JSON gateway, in memory."""
+"""Stand-in for the platform's key-value store: the etcd v3 JSON gateway, in memory."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass
 class Entry:
-    """A key's value with its revisions and lease."""
+    """The value of a key with its revisions and lease."""
 
     value: str
     create: int
@@ -36,18 +36,18 @@
         self.next_lease = 1000
         self.calls: dict[str, int] = {}
 
-    def count(self, name: str) -> None:
+    def count_call(self, name: str) -> None:
         """Count a call."""
         self.calls[name] = self.calls.get(name, 0) + 1
 
     def expire(self) -> None:
-        """Remove what belongs to lapsed leases."""
+        """Revoke expired leases."""
         now = clocks.now()
         for lease in [n for n, (end, _) in self.leases.items() if end < now]:
             self.revoke(lease)
 
     def revoke(self, lease: str) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         self.leases.pop(lease, None)
         keys = [k for k, e in self.entries.items() if e.lease == lease]
         if keys:
@@ -55,7 +55,7 @@
         for key in keys:
             self.delete(key)
 
-    def select(self, request: dict[str, Any]) -> list[bytes]:
+    def select_keys(self, request: dict[str, Any]) -> list[bytes]:
         """Return the keys in a request's range."""
         key = base64.b64decode(request['key'])
         if not request.get('range_end'):
@@ -64,7 +64,7 @@
         return sorted(k for k in self.entries if key <= k < end)
 
     def render(self, key: bytes) -> dict[str, Any]:
-        """Return a key as the gateway shows it."""
+        """Return a key in the format of the gateway."""
         entry = self.entries[key]
         return {
             'key': base64.b64encode(key).decode(),
@@ -95,7 +95,7 @@
         self.notify({'type': 'DELETE', 'kv': shown})
 
     def notify(self, event: dict[str, Any]) -> None:
-        """Tell all watchers."""
+        """Send an event to all watchers."""
         for queue in self.watchers:
             queue.put_nowait(event)
 
@@ -110,33 +110,33 @@
         return (getattr(entry, field) if entry else 0) == int(condition.get(name, 0))
 
     def apply(self, operation: dict[str, Any]) -> dict[str, Any]:
-        """Carry out one operation of a transaction."""
+        """Execute one operation of a transaction."""
         if 'request_put' in operation:
             self.put(operation['request_put'])
             return {'response_put': {}}
         if 'request_delete_range' in operation:
-            keys = self.select(operation['request_delete_range'])
+            keys = self.select_keys(operation['request_delete_range'])
             for key in keys:
                 self.delete(key)
             return {'response_delete_range': {'deleted': str(len(keys))}}
-        kvs = [self.render(k) for k in self.select(operation['request_range'])]
+        kvs = [self.render(k) for k in self.select_keys(operation['request_range'])]
         return {'response_range': {'kvs': kvs, 'count': str(len(kvs))}}
 
 
 class Call(common.Handler):
-    """Base of the store's calls."""
+    """Base handler of the store's API."""
 
     state: State
 
     async def prepare(self) -> None:
-        """Apply the faults and the lapsed leases, and count the call."""
-        self.state.count(self.request.path)
+        """Count the call, apply the faults, and revoke expired leases."""
+        self.state.count_call(self.request.path)
         await super().prepare()
         self.state.expire()
 
     def reply(self, answer: dict[str, Any]) -> None:
-        """Send the answer, unless it is to be lost."""
-        self.cut_if_answer_is_lost()
+        """Send the response, unless it is to be lost."""
+        self.drop_lost_answer()
         header = {'revision': str(self.state.revision)}
         self.write({'header': header, **answer})
 
@@ -145,8 +145,8 @@
     """Reads a range of keys."""
 
     def post(self) -> None:
-        """Answer with the keys in range."""
-        kvs = [self.state.render(k) for k in self.state.select(self.get_body())]
+        """Return the keys in the range."""
+        kvs = [self.state.render(k) for k in self.state.select_keys(self.get_body())]
         self.reply({'kvs': kvs, 'count': str(len(kvs))})
 
 
@@ -154,7 +154,7 @@
     """Runs a transaction."""
 
     def post(self) -> None:
-        """Compare, then carry out one of the branches."""
+        """Evaluate the conditions, then execute one of the branches."""
         body = self.get_body()
         succeeded = all(self.state.compare(c) for c in body.get('compare', []))
         branch = body.get('success' if succeeded else 'failure', [])
@@ -168,7 +168,7 @@
     """Grants a lease."""
 
     def post(self) -> None:
-        """Answer with the lease's number."""
+        """Return the id of the new lease."""
         ttl = float(self.get_body()['TTL'])
         self.state.next_lease += 1
         lease = str(self.state.next_lease)
@@ -180,7 +180,7 @@
     """Renews a lease."""
 
     def post(self) -> None:
-        """Answer with the new time to live; none if the lease has lapsed."""
+        """Return the new time to live; none if the lease has expired."""
         lease = str(self.get_body()['ID'])
         known = self.state.leases.get(lease)
         if known is None:
@@ -191,7 +191,7 @@
 
 
 class Revoke(Call):
-    """Ends a lease."""
+    """Revokes a lease."""
 
     def post(self) -> None:
         """Delete the lease and its keys."""
@@ -203,7 +203,7 @@
     """Streams the changes of a range."""
 
     async def post(self) -> None:
-        """Send one line per change until the caller goes or the store is cut."""
+        """Send one line for each change, until the caller disconnects or calls are dropped."""
         request = self.get_body()['create_request']
         low = base64.b64decode(request['key'])
         high = base64.b64decode(request['range_end']) if request.get('range_end') else low + b'\0'
@@ -223,7 +223,7 @@
             return
         finally:
             self.state.watchers.discard(queue)
-        self.cut()
+        self.drop_connection()
 
     async def _send(self, result: dict[str, Any]) -> None:
         header = {'revision': str(self.state.revision)}
@@ -232,15 +232,15 @@
 
 
 class Stats(common.Handler):
-    """Shows how many calls came, by path."""
+    """Returns the number of calls by path."""
 
     state: State
 
     async def prepare(self) -> None:
-        """Let this call through whatever the faults."""
+        """Ignore all faults."""
 
     def get(self) -> None:
-        """Answer with the counts."""
+        """Return the counts."""
         self.write(self.state.calls)
 
 
--- a/passpier/standins/suspension.py
+++ b/passpier/standins/suspension.py
@@ -1,4 +1,4 @@
-"""Stands in for a VM that is suspended: the clock that counts this jumps, the monotonic one not."""
+"""Simulates the suspension of a VM: all clocks jump ahead except the monotonic one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 class Suspension:
-    """Puts readings of the system's clocks ahead; `replace` sets an attribute for a while."""
+    """Advances the readings of the system clocks.
+
+    `replace` sets an attribute temporarily, like `setattr` of pytest's `monkeypatch`.
+    """
 
     def __init__(self, replace: Callable[[object, str, object], None]) -> None:
         self._seconds = 0.0
@@ -15,7 +18,7 @@
         replace(time, 'clock_gettime', self._read_ahead)
 
     def happen(self, seconds: float) -> None:
-        """Let the VM have been suspended for so long just now."""
+        """Simulate a suspension of the VM that has just ended and took `seconds`."""
         self._seconds += seconds
 
     def _read_ahead(self, clock: int) -> float:
--- a/passpier/standins/virtual.py
+++ b/passpier/standins/virtual.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer instead of waiting."""
+"""An event loop with virtual time: its clock jumps to the next timer instead of waiting."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Never waits; counts the time that it was asked to wait."""
+    """Selector that never blocks and adds the requested timeouts to its clock."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Return what is ready, and let the asked time pass."""
+        """Return the ready events; without any, advance the clock by the timeout."""
         ready = super().select(0)
         if not ready and timeout:
             self.now += timeout
@@ -24,7 +24,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs timers without waiting for them."""
+    """Event loop that runs timers without waiting for them."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
@@ -35,7 +35,7 @@
         return self._jumping.now
 
 
-def run(work: Coroutine[Any, Any, T]) -> T:
+def run(main: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        return runner.run(work)
+        return runner.run(main)
--- a/passpier/standins/vms.py
+++ b/passpier/standins/vms.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's lagging list of live and leaving VMs."""
+"""Stand-in for the platform's list of live and leaving VMs, which is updated with a lag."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class List(common.Handler):
-    """Shows and changes the list; a change shows after the lag."""
+    """Returns and changes the list; a change takes effect after the lag."""
 
     vms: dict[str, str]
 
@@ -17,7 +17,7 @@
         self.write({'vms': self.vms})
 
     async def post(self) -> None:
-        """Set states, after the lag in seconds."""
+        """Set the states of VMs after the lag."""
         lag = float(self.faults.options.get('lag', 0.0))
         asyncio.get_running_loop().call_later(lag, self.vms.update, self.get_body())
         self.write({})
--- a/passpier/standins/workloads.py
+++ b/passpier/standins/workloads.py
@@ -1,4 +1,4 @@
-"""Workloads of the bench: seeded arrivals with nested prompt prefixes."""
+"""Workloads of the bench: random arrivals with nested prompt prefixes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One request; `at` in seconds from the start."""
+    """A request; `at` is in seconds from the start."""
 
     at: float
     account: str
@@ -24,24 +24,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workload:
-    """Requests with the prompt tokens that any router must have computed at least once."""
+    """Requests, with the number of prompt tokens that any router has to compute at least once."""
 
     requests: list[Request]
     preamble: str
-    """Text that the services put before every prompt."""
+    """Text that the services insert before every prompt."""
 
     distinct_tokens: int
 
 
 class TextSource:
-    """Makes repeatable text by name; a token is four bytes."""
+    """Generates reproducible text by name; a token is four bytes."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
         self._cache: dict[tuple[str, int], str] = {}
 
     def make(self, name: str, tokens: int) -> str:
-        """Return the text of that name."""
+        """Return the text of a name with a number of tokens."""
         key = (name, tokens)
         if key not in self._cache:
             rng = random.Random(f'{self._seed}/{name}')
@@ -68,13 +68,16 @@
 
 
 def draw_zipf(rng: random.Random, count: int, skew: float = 0.9) -> int:
-    """Return a number below `count`, low ones more often."""
+    """Return a number below `count` from a Zipf distribution."""
     weights = [1 / (n + 1) ** skew for n in range(count)]
     return rng.choices(range(count), weights)[0]
 
 
 def make_radar(rng: random.Random, rate: float, duration: float, hot: float = 0.0) -> Workload:
-    """Short flags on three levels: preamble, station, recent log; a share `hot` on one station."""
+    """Return short requests with prefixes on three levels: preamble, station and recent log.
+
+    A share `hot` of them uses one station, a different one every three seconds.
+    """
     text = TextSource(rng.randrange(2**32))
     preamble = text.make('radar desk preamble', 512)
     requests = []
@@ -91,11 +94,11 @@
         service = 'flag' if rng.random() < 0.8 else 'digest'
         account = rng.choices(['tower', 'district', 'coop'], [5, 3, 2])[0]
         requests.append(Request(at, account, service, prompt, 8))
-    return finish(preamble, requests)
+    return build_workload(preamble, requests)
 
 
 def make_wind(rng: random.Random, rate: float, duration: float) -> Workload:
-    """Long shift logs that are asked about several times, with short alarm pushes among them."""
+    """Return requests about long shift logs, several for each log, mixed with short alarms."""
     text = TextSource(rng.randrange(2**32))
     preamble = text.make('wind preamble', 512)
     requests = []
@@ -110,22 +113,22 @@
         turbine = draw_zipf(rng, 5)
         prompt = head + text.make(f'shift {farm}.{turbine}', 5120) + text.make(f'ask {at}', 64)
         requests.append(Request(at, account, 'triage', prompt, 12))
-    return finish(preamble, requests)
+    return build_workload(preamble, requests)
 
 
 def make_greedy(rng: random.Random, rate: float, duration: float, greedy: float) -> Workload:
-    """Well-behaved radar traffic with one account that sends far more than its share."""
+    """Return radar traffic with one additional account that sends far more than its share."""
     workload = make_radar(rng, rate, duration)
     flood = [
         dataclasses.replace(r, account='greedy', service='flag')
         for r in make_radar(rng, greedy, duration).requests
     ]
     requests = sorted([*workload.requests, *flood], key=lambda r: r.at)
-    return finish(workload.preamble, requests)
+    return build_workload(workload.preamble, requests)
 
 
-def finish(preamble: str, requests: list[Request]) -> Workload:
-    """Return the workload with its distinct tokens, counted in whole blocks."""
+def build_workload(preamble: str, requests: list[Request]) -> Workload:
+    """Return the workload, with its distinct tokens counted by block."""
     seen: set[int] = set()
     tokens = 0
     for request in requests:
@@ -138,4 +141,4 @@
     return Workload(requests, preamble, tokens)
 
 
-Maker = Callable[[random.Random], Workload]
+WorkloadFactory = Callable[[random.Random], Workload]
