--- a/passpier/standins/platform/clients.py
+++ b/passpier/standins/platform/clients.py
@@ -109,25 +109,25 @@
         given = deployment.build_headers(id, int(patience * 1000), key)
         request = exchanges.Request('POST', f'/{kind}/x', [*given, *headers], b'question')
         began = clocks.now()
-        seen = await self._running.observe_at(router.client_link.address, request, patience)
+        observed = await self._running.observe_at(router.client_link.address, request, patience)
         seconds = clocks.now() - began
         echoed_id = ''
-        if seen.status:
-            assert seen.head is not None
-            echoed_id = seen.head.get(names.REQUEST_ID) or 'nobody'
+        if observed.status:
+            assert observed.head is not None
+            echoed_id = observed.head.get(names.REQUEST_ID) or 'nobody'
         self.asked.append(
             promises.Asked(
                 id,
                 kind,
                 key,
                 began,
-                seen.status,
-                seen.body,
+                observed.status,
+                observed.body,
                 seconds,
                 echoed_id,
                 router.name,
                 patience,
-                seen.head is not None,
+                observed.head is not None,
             )
         )
 
--- a/passpier/standins/platform/deployment.py
+++ b/passpier/standins/platform/deployment.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ObservedReply:
+class ObservedResponse:
     """What a client received of a response; the status is 0 if the response is incomplete."""
 
     status: int = 0
@@ -237,24 +237,24 @@
 
     async def observe_at(
         self, address: str, request: exchanges.Request, patience: float
-    ) -> ObservedReply:
+    ) -> ObservedResponse:
         """Send a client request to an address and return what arrives of the response."""
-        seen = ObservedReply()
+        observed = ObservedResponse()
         exchange: exchanges.Exchange | None = None
         try:
             async with asyncio.timeout(patience + RESPONSE_SLACK):
                 exchange = await self.pool.open(address, request)
-                seen.head = await exchange.read_head()
+                observed.head = await exchange.read_head()
                 answer = await exchange.read_all()
-                seen.status, seen.body = answer.head.status, answer.body
+                observed.status, observed.body = answer.head.status, answer.body
         except (TimeoutError, exchanges.ExchangeError) as error:
-            seen.error = str(error) or 'timed out'
+            observed.error = str(error) or 'timed out'
             if exchange is not None and not exchange.heard:
                 exchange.note_silent()
         finally:
             if exchange is not None:
                 exchange.close()
-        return seen
+        return observed
 
     def list_runs(self, id: str) -> list[replica.Run]:
         """Return all runs of a request, on any replica."""
@@ -262,8 +262,8 @@
 
     def _sees_all(self, process: router.Router) -> bool:
         now = clocks.now()
-        seen = process.roster.membership.list_serving(now)
-        enough = len(seen) >= len(self.routers)
+        serving = process.roster.membership.list_serving(now)
+        enough = len(serving) >= len(self.routers)
         return enough and len(process.pools.replicas) >= len(self.replicas)
 
     def _start_replica(self, started: replica.Replica) -> None:
--- a/passpier/standins/platform/fault_injection.py
+++ b/passpier/standins/platform/fault_injection.py
@@ -240,7 +240,7 @@
         self.disturbances += [promises.Disturbance(id, began, now) for id in held]
 
     async def _inject_replica_fault(self) -> None:
-        fault = self._rng.choice(['refuse', 'fail', 'lose', 'cut', 'swap_id', 'fail_503'])
+        fault = self._rng.choice(['refuse', 'fail', 'lose', 'cut', 'swap', 'lie'])
         chosen = self._rng.choice(list(self._targets.deployment.replicas.values()))
         self.log_fault(f'{chosen.id}: fault {fault}', 1.0)
         setattr(chosen.faults, fault, self._rng.randint(2, 6))
--- a/passpier/standins/platform/play.py
+++ b/passpier/standins/platform/play.py
@@ -156,7 +156,7 @@
         return self._rng.choice(list(self._running.replicas.values()))
 
     async def _inject_replica_fault(self) -> None:
-        fault = self._rng.choice(['refuse', 'fail', 'lose', 'cut', 'swap_id', 'fail_503'])
+        fault = self._rng.choice(['refuse', 'fail', 'lose', 'cut', 'swap', 'lie'])
         setattr(self._pick().faults, fault, self._rng.randint(2, 6))
 
     async def _silence_replica(self) -> None:
--- a/passpier/standins/platform/replica.py
+++ b/passpier/standins/platform/replica.py
@@ -55,7 +55,7 @@
     cut: int = 0
     """Streams that are reset in the middle of their second event."""
 
-    swap_id: int = 0
+    swap: int = 0
     """Answered with another request's id."""
 
     silent: bool = False
@@ -64,7 +64,7 @@
     unreachable: bool = False
     """Leaves every call unanswered, load reports included."""
 
-    fail_503: int = 0
+    lie: int = 0
     """Run, then answered with 503, without the header that marks a request as not run."""
 
     ignore_order: int = 0
@@ -497,11 +497,11 @@
     async def _answer(self, id: str) -> None:
         if self.take_fault('lose'):
             self.reset()
-        if self.take_fault('fail_503'):
+        if self.take_fault('lie'):
             self.set_status(503)
             return
         self.set_header(names.STAMP, f'{self.replica.id}.{id}')
-        if self.take_fault('swap_id'):
+        if self.take_fault('swap'):
             self.set_header(names.REQUEST_ID, 'of-somebody-else')
         if self.take_fault('fail'):
             self.set_status(500)
