--- a/passpier/standins/platform/backpressure.py
+++ b/passpier/standins/platform/backpressure.py
@@ -57,40 +57,40 @@
         await asyncio.gather(*started)
 
     async def _limit(self, last: float) -> None:
-        known = self._pick()
-        if known is None:
+        chosen = self._pick()
+        if chosen is None:
             return
         limit = self._rng.choice(LIMITS)
         seconds = self._draw_seconds(last)
-        self._host.log_fault(f'{known.id} accepts {limit} requests a second for {seconds:.2f} s')
+        self._host.log_fault(f'{chosen.id} accepts {limit} requests a second for {seconds:.2f} s')
         began = clocks.now()
-        known.faults.limit = limit
+        chosen.faults.limit = limit
         await asyncio.sleep(seconds)
-        known.faults.limit = None
-        self.limits.append(promises.Limited(known.id, limit, began, clocks.now()))
+        chosen.faults.limit = None
+        self.limits.append(promises.Limited(chosen.id, limit, began, clocks.now()))
 
     async def _refuse(self, last: float) -> None:
-        known = self._pick()
-        if known is None:
+        chosen = self._pick()
+        if chosen is None:
             return
         seconds = self._draw_seconds(last)
-        known.faults.backoff = self._rng.choice(BACKOFFS)
+        chosen.faults.backoff = self._rng.choice(BACKOFFS)
         self._host.log_fault(
-            f'{known.id} refuses for {seconds:.2f} s with Retry-After {known.faults.backoff} s',
+            f'{chosen.id} refuses for {seconds:.2f} s with Retry-After {chosen.faults.backoff} s',
             seconds,
         )
         await asyncio.sleep(seconds)
-        known.faults.backoff = 0.0
+        chosen.faults.backoff = 0.0
 
     async def _leave(self, last: float) -> None:
         """Let a replica announce that it is leaving, long before its entry does, and drain it."""
-        known = self._pick()
-        if known is None or len(self._list_free(known.service)) < 2:
+        chosen = self._pick()
+        if chosen is None or len(self._list_free(chosen.service)) < 2:
             return
-        self._host.log_fault(f'{known.id} announces that it is leaving')
-        known.faults.leaves = True
+        self._host.log_fault(f'{chosen.id} announces that it is leaving')
+        chosen.faults.leaves = True
         await asyncio.sleep(self._draw_seconds(last))
-        await self._host.begin_replacement(known)
+        await self._host.begin_replacement(chosen)
 
     def _draw_seconds(self, last: float) -> float:
         return max(0.0, min(self._rng.uniform(*DURATIONS), last - clocks.now()))
--- a/passpier/standins/platform/clients.py
+++ b/passpier/standins/platform/clients.py
@@ -36,18 +36,18 @@
 
 
 class Clients:
-    """Sends random requests to routers; `asked` has the outcomes."""
+    """Sends random requests to routers and records their outcomes."""
 
     def __init__(
         self,
         running: deployment.Deployment,
-        known: list[routers.RouterProcess],
+        processes: list[routers.RouterProcess],
         seed: int,
         rng: random.Random,
     ) -> None:
-        self.asked: list[promises.Asked] = []
+        self.outcomes: list[promises.Asked] = []
         self._running = running
-        self._routers = known
+        self._routers = processes
         self._rng = rng
         self._long_rng = random.Random(f'long {seed}')
         self._resolved: dict[str, tuple[float, list[str]]] = {}
@@ -115,7 +115,7 @@
         if observed.status:
             assert observed.head is not None
             echoed_id = observed.head.get(names.REQUEST_ID) or 'nobody'
-        self.asked.append(
+        self.outcomes.append(
             promises.Asked(
                 id,
                 kind,
--- a/passpier/standins/platform/costs.py
+++ b/passpier/standins/platform/costs.py
@@ -129,15 +129,15 @@
         self, work: str, seconds: float, ask: Callable[[], Awaitable[object]]
     ) -> None:
         before, began = self._read_spent(), clocks.now()
-        asking = []
+        pending = []
         while clocks.now() < began + seconds:
-            asking.append(asyncio.ensure_future(ask()))
+            pending.append(asyncio.ensure_future(ask()))
             await asyncio.sleep(self._rng.expovariate(self._rate))
-        await asyncio.gather(*asking)
+        await asyncio.gather(*pending)
         elapsed = clocks.now() - began
-        spent = (self._read_spent() - before) * 1000 / len(asking)
-        at_rest = self._report.idle * self._count * elapsed * 1000 / len(asking)
-        self._report.rows.append(Row(work, len(asking), spent, at_rest))
+        spent = (self._read_spent() - before) * 1000 / len(pending)
+        at_rest = self._report.idle * self._count * elapsed * 1000 / len(pending)
+        self._report.rows.append(Row(work, len(pending), spent, at_rest))
 
     def _read_spent(self) -> float:
         """Return the processor time of all routers in seconds."""
--- a/passpier/standins/platform/deployment.py
+++ b/passpier/standins/platform/deployment.py
@@ -112,10 +112,10 @@
         A crashed replica restarts under its id after `away` seconds.
         """
         loop = asyncio.get_running_loop()
-        for known in self.replicas.values():
-            known.crash_body = body
-            known.on_crash = functools.partial(
-                loop.call_later, away, self.restart_replica, known.id
+        for target in self.replicas.values():
+            target.crash_body = body
+            target.on_crash = functools.partial(
+                loop.call_later, away, self.restart_replica, target.id
             )
 
     def restart_replica(self, id: str, version: int | None = None, born: int | None = None) -> None:
@@ -207,9 +207,9 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for server in self._servers:
             server.stop()
-        for known in self._started_replicas:
-            if known.server is not None:
-                known.server.stop()
+        for target in self._started_replicas:
+            if target.server is not None:
+                target.server.stop()
         self.pool.close()
 
     async def ask(self, path: str, entry: int = 0, **given: Any) -> Reply:
@@ -258,7 +258,7 @@
 
     def list_runs(self, id: str) -> list[replica.Run]:
         """Return all runs of a request, on any replica."""
-        return [r for known in self.replicas.values() for r in known.runs if r.id == id]
+        return [r for target in self.replicas.values() for r in target.runs if r.id == id]
 
     def _sees_all(self, process: router.Router) -> bool:
         now = clocks.now()
--- a/passpier/standins/platform/fault_injection.py
+++ b/passpier/standins/platform/fault_injection.py
@@ -59,12 +59,12 @@
         self.released[version] = clocks.now()
         self.deployment.name_version(version)
 
-    async def put_behind_proxy(self, known: replica.Replica) -> None:
+    async def put_behind_proxy(self, target: replica.Replica) -> None:
         """Start a proxy for a replica and register the replica at the proxy's address."""
-        link = self.links[known.id] = proxy.Proxy(known.address)
+        link = self.links[target.id] = proxy.Proxy(target.address)
         await link.start()
-        known.address = link.address
-        self.deployment.record(known.id)
+        target.address = link.address
+        self.deployment.record(target.id)
 
 
 class FaultInjector:
--- a/passpier/standins/platform/leaving.py
+++ b/passpier/standins/platform/leaving.py
@@ -80,7 +80,7 @@
         self._count = count
         self._deployment = deployment.Deployment()
         self._routers: list[routers.RouterProcess] = []
-        self._left_at: dict[str, float] = {}
+        self._disconnected_at: dict[str, float] = {}
 
     async def run(self) -> Report:
         """Start everything, let clients connect and disconnect, and report."""
@@ -98,9 +98,9 @@
 
     async def _start(self, folder: pathlib.Path) -> None:
         await self._deployment.start(routers=0)
-        for known in self._deployment.replicas.values():
-            known.work, known.events, known.slots = WORK_SECONDS, EVENT_COUNT, 10 * self._clients
-            self._deployment.record(known.id)
+        for target in self._deployment.replicas.values():
+            target.work, target.events, target.slots = WORK_SECONDS, EVENT_COUNT, 10 * self._clients
+            self._deployment.record(target.id)
         for number in range(self._count):
             router = routers.RouterProcess(number, folder, self._deployment.store_address)
             self._routers.append(router)
@@ -110,21 +110,23 @@
                 await asyncio.sleep(0.1)
 
     async def _run_wave(self, wave: int) -> None:
-        leaves_at = clocks.now() + self._rng.uniform(0.3, WORK_SECONDS / 2)
+        disconnects_at = clocks.now() + self._rng.uniform(0.3, WORK_SECONDS / 2)
         tasks = [
-            self._send_and_leave(f'w{wave}-{n}', leaves_at + self._rng.uniform(0.0, WAVE_SECONDS))
+            self._send_and_leave(
+                f'w{wave}-{n}', disconnects_at + self._rng.uniform(0.0, WAVE_SECONDS)
+            )
             for n in range(self._clients)
         ]
         await asyncio.gather(*tasks)
 
-    async def _send_and_leave(self, id: str, leaves_at: float) -> None:
+    async def _send_and_leave(self, id: str, disconnects_at: float) -> None:
         kind = self._rng.choice(KINDS)
         host, _, port = self._rng.choice(self._routers).caller.rpartition(':')
         _, writer = await asyncio.open_connection(host, int(port))
         writer.write(self._render(kind, id))
         await writer.drain()
-        await asyncio.sleep(max(0.0, leaves_at - clocks.now()))
-        self._left_at[f'{kind} {id}'] = clocks.now()
+        await asyncio.sleep(max(0.0, disconnects_at - clocks.now()))
+        self._disconnected_at[f'{kind} {id}'] = clocks.now()
         writer.close()
 
     def _render(self, kind: str, id: str) -> bytes:
@@ -132,24 +134,24 @@
         return deployment.render_request(f'/{kind}/x', f'{kind} {id}', PATIENCE_MS, prompt)
 
     def _report(self) -> Report:
-        report = Report(len(self._left_at))
-        known = list(self._deployment.replicas.values())
-        dropped = {id: at for r in known for id, at in r.abandoned_at.items()}
-        for run in (run for r in known for run in r.runs if run.id in self._left_at):
-            left_at = self._left_at[run.id]
-            report.late_arrivals += run.at > left_at + BOUND
+        report = Report(len(self._disconnected_at))
+        targets = list(self._deployment.replicas.values())
+        abandoned = {id: at for r in targets for id, at in r.abandoned_at.items()}
+        for run in (run for r in targets for run in r.runs if run.id in self._disconnected_at):
+            disconnected_at = self._disconnected_at[run.id]
+            report.late_arrivals += run.at > disconnected_at + BOUND
             if run.id.startswith('once'):
-                report.broken_off += run.id in dropped
+                report.broken_off += run.id in abandoned
                 continue
             takes = (
                 WORK_SECONDS
                 if run.id.startswith('safe')
                 else WORK_SECONDS + EVENT_COUNT * replica.EVENT_PAUSE
             )
-            if run.at + takes <= left_at + BOUND:
+            if run.at + takes <= disconnected_at + BOUND:
                 continue
-            if run.id in dropped:
-                report.learnt_after.append(max(0.0, dropped[run.id] - left_at))
+            if run.id in abandoned:
+                report.learnt_after.append(max(0.0, abandoned[run.id] - disconnected_at))
             else:
                 report.never_learnt += 1
         return report
--- a/passpier/standins/platform/play.py
+++ b/passpier/standins/platform/play.py
@@ -61,7 +61,7 @@
         return '\n'.join(lines)
 
 
-class Play:
+class FaultRun:
     """One run with a seed."""
 
     def __init__(
@@ -245,7 +245,7 @@
 ) -> Report:
     """Run one seed on a new deployment; with `asks` replicas send backpressure signals."""
     async with deployment.running(routers) as running:
-        return await Play(running, seed, rate, asks).run(seconds)
+        return await FaultRun(running, seed, rate, asks).run(seconds)
 
 
 def main(
--- a/passpier/standins/platform/promises.py
+++ b/passpier/standins/platform/promises.py
@@ -115,9 +115,9 @@
     def __post_init__(self) -> None:
         self.still_since = self.still_since or self.at
 
-    def may_leave_unread(self, asked: Asked) -> bool:
+    def may_leave_unread(self, outcome: Asked) -> bool:
         """Return whether a request may have arrived too late for the process to read it."""
-        return self.ended - UNREAD_BEFORE_EXIT <= asked.sent_at <= self.ended
+        return self.ended - UNREAD_BEFORE_EXIT <= outcome.sent_at <= self.ended
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -166,36 +166,36 @@
 
 
 def find_broken(
-    asked: Iterable[Asked],
+    outcomes: Iterable[Asked],
     replicas: Iterable[replica.Replica],
     revoked: Mapping[str, float],
     key_bound: float,
     order_gap: float,
-    thaws: Sequence[Thaw] = (),
+    resumptions: Sequence[Thaw] = (),
 ) -> list[str]:
     """Return a description of each violation.
 
     `revoked` has the times at which keys were revoked, `key_bound` the seconds after which they
     must be rejected, `order_gap` the minimum seconds between orders of two routers.
     """
-    known = list(replicas)
-    runs = collections.Counter(run.id for r in known for run in r.runs)
-    broken = [
+    targets = list(replicas)
+    runs = collections.Counter(run.id for r in targets for run in r.runs)
+    violations = [
         f'{run.id} ran on weights {run.version} with cache of {run.salt}'
-        for r in known
+        for r in targets
         for run in r.runs
         if run.salt and not run.salt.endswith(f'/{run.version}')
     ]
-    for one in asked:
-        broken += _check_request(one, runs[one.id])
+    for one in outcomes:
+        violations += _check_request(one, runs[one.id])
         revoked_at = revoked.get(one.key)
         if revoked_at is not None and runs[one.id] and one.sent_at > revoked_at + key_bound:
-            broken.append(f'{one.id} ran {one.sent_at - revoked_at:.2f} s after its key went')
-    return broken + _check_orders(known, order_gap, thaws)
+            violations.append(f'{one.id} ran {one.sent_at - revoked_at:.2f} s after its key went')
+    return violations + _check_orders(targets, order_gap, resumptions)
 
 
 def find_outdated(
-    asked: Iterable[Asked],
+    outcomes: Iterable[Asked],
     replicas: Iterable[replica.Replica],
     named: Mapping[int, float],
     bound: float,
@@ -206,47 +206,47 @@
     `named` has the times at which versions were released. A disturbance excuses requests through
     its router, and requests to its replica, since an interrupted link delivers late.
     """
-    routers = {one.id: one.router for one in asked}
-    broken = []
-    for known in replicas:
-        for run in known.runs if known.model else ():
+    routers = {one.id: one.router for one in outcomes}
+    violations = []
+    for target in replicas:
+        for run in target.runs if target.model else ():
             newer = min((at for v, at in named.items() if v > run.version), default=run.at)
             router = routers.get(run.id, '')
-            mine = [d for d in disturbances if d.of in (router, known.id)]
+            mine = [d for d in disturbances if d.of in (router, target.id)]
             if run.at > newer + bound and not any(d.excuses(run.at) for d in mine):
                 last = max((d.ended for d in mine if d.began <= run.at), default=newer)
-                broken.append(
-                    f'{run.id} by {router} began at {known.id} on weights {run.version}, outdated '
+                violations.append(
+                    f'{run.id} by {router} began at {target.id} on weights {run.version}, outdated '
                     f'for {run.at - newer:.2f} s, {run.at - last:.2f} s after any disturbance'
                 )
-    return broken
+    return violations
 
 
 def find_unnamed(
-    asked: Iterable[Asked],
+    outcomes: Iterable[Asked],
     replicas: Iterable[replica.Replica],
     unnamed: Sequence[Unnamed],
     disturbances: Sequence[Disturbance] = (),
     unplanned: Sequence[tuple[float, float]] = (),
 ) -> list[str]:
     """Return each run that started on a replica whose entry had been overwritten."""
-    routers = {one.id: one.router for one in asked}
-    broken = []
-    for known in replicas:
-        for run in known.runs:
-            names = (routers.get(run.id, ''), known.id)
+    routers = {one.id: one.router for one in outcomes}
+    violations = []
+    for target in replicas:
+        for run in target.runs:
+            names = (routers.get(run.id, ''), target.id)
             excused = _is_excused(disturbances, names, run.at) or any(
                 began <= run.at < ended + DISTURBANCE_GRACE for began, ended in unplanned
             )
-            broken += [
-                f'{run.id} began at {known.id} {run.at - one.began:.2f} s after another writer had '
-                f'overwritten its entry'
+            violations += [
+                f'{run.id} began at {target.id} {run.at - one.began:.2f} s after another writer '
+                f'had overwritten its entry'
                 for one in unnamed
-                if one.id == known.id
+                if one.id == target.id
                 and one.began + REMOVAL_GRACE < run.at < one.ended
                 and not excused
             ]
-    return broken
+    return violations
 
 
 def find_over_limit(arrived: Sequence[float], limit: float) -> list[str]:
@@ -262,47 +262,49 @@
 
 
 def find_broken_signals(
-    asked: Iterable[Asked],
+    outcomes: Iterable[Asked],
     replicas: Iterable[replica.Replica],
     limits: Sequence[Limited],
     disturbances: Sequence[Disturbance] = (),
 ) -> list[str]:
     """Return each limit, backoff or leaving flag of a replica that routers did not respect."""
-    asked, known = list(asked), list(replicas)
-    routers = {one.id: one.router for one in asked}
-    broken = find_limits_broken(asked, known, limits, disturbances)
-    broken += find_after_leaving(asked, known, disturbances)
-    for refusing in known:
-        broken += find_backoffs_broken(refusing, routers, disturbances)
-    return broken
+    outcomes, targets = list(outcomes), list(replicas)
+    routers = {one.id: one.router for one in outcomes}
+    violations = find_limits_broken(outcomes, targets, limits, disturbances)
+    violations += find_after_leaving(outcomes, targets, disturbances)
+    for refusing in targets:
+        violations += find_backoffs_broken(refusing, routers, disturbances)
+    return violations
 
 
 def find_limits_broken(
-    asked: Iterable[Asked],
+    outcomes: Iterable[Asked],
     replicas: Iterable[replica.Replica],
     limits: Sequence[Limited],
     disturbances: Sequence[Disturbance] = (),
 ) -> list[str]:
     """Return each limit that was exceeded by all routers together that knew it."""
-    known = {r.id: r for r in replicas}
-    by_id = {one.id: one for one in asked}
-    broken = []
+    targets = {r.id: r for r in replicas}
+    by_id = {one.id: one for one in outcomes}
+    violations = []
     for one in limits:
-        limited = known.get(one.id)
+        limited = targets.get(one.id)
         if limited is None:
             # The replica was replaced under another id.
             continue
-        told = [said for said in limited.said if one.began <= said.at < one.ended]
-        heard = _find_signal_times([said for said in told if said.limit is not None], by_id)
+        signals = [signal for signal in limited.said if one.began <= signal.at < one.ended]
+        known_since = _find_signal_times(
+            [signal for signal in signals if signal.limit is not None], by_id
+        )
         arrived = []
         for arrival in limited.arrivals:
             router = by_id[arrival.id].router if arrival.id in by_id else ''
-            since = heard.get((router, arrival.life), math.inf)
+            since = known_since.get((router, arrival.life), math.inf)
             counts = since + LIMIT_HEARD <= arrival.at <= one.ended
             if counts and not _is_excused(disturbances, (router, one.id), arrival.at):
                 arrived.append(arrival.at)
-        broken += [f'{one.id} got {text}' for text in find_over_limit(arrived, one.limit)]
-    return broken
+        violations += [f'{one.id} got {text}' for text in find_over_limit(arrived, one.limit)]
+    return violations
 
 
 def find_backoffs_broken(
@@ -314,62 +316,64 @@
 
     `routers` has the router that each request was sent to, by request id.
     """
-    broken = []
-    for said in refusing.said:
-        router = routers.get(said.id)
-        if router is None or not said.backoff:
+    violations = []
+    for signal in refusing.said:
+        router = routers.get(signal.id)
+        if router is None or not signal.backoff:
             continue
-        came = [
+        arrived = [
             a.at
             for a in refusing.arrivals
             if routers.get(a.id) == router
-            and a.life == said.life
-            and said.at + BACKOFF_GRACE < a.at < said.at + said.backoff
+            and a.life == signal.life
+            and signal.at + BACKOFF_GRACE < a.at < signal.at + signal.backoff
         ]
         names = (router, refusing.id)
-        excused = any(_is_excused(disturbances, names, at) for at in came)
-        if len(came) > BACKOFF_ALLOWED and not excused:
-            text = f'{refusing.id} got {len(came)} requests of {router}'
-            broken.append(f'{text} that was to back off for {said.backoff} s')
-    return broken
+        excused = any(_is_excused(disturbances, names, at) for at in arrived)
+        if len(arrived) > BACKOFF_ALLOWED and not excused:
+            text = f'{refusing.id} got {len(arrived)} requests of {router}'
+            violations.append(f'{text} that was to back off for {signal.backoff} s')
+    return violations
 
 
 def find_after_leaving(
-    asked: Iterable[Asked],
+    outcomes: Iterable[Asked],
     replicas: Iterable[replica.Replica],
     disturbances: Sequence[Disturbance] = (),
 ) -> list[str]:
     """Return each request that a router sent to a replica known to be leaving."""
-    by_id = {one.id: one for one in asked}
-    broken = []
+    by_id = {one.id: one for one in outcomes}
+    violations = []
     for left in replicas:
-        told = [said for said in left.said if said.leaving]
-        heard = _find_signal_times(told, by_id)
+        signals = [signal for signal in left.said if signal.leaving]
+        known_since = _find_signal_times(signals, by_id)
         for arrival in left.arrivals:
             one = by_id.get(arrival.id)
-            since = heard.get((one.router if one else '', arrival.life), math.inf)
+            since = known_since.get((one.router if one else '', arrival.life), math.inf)
             if one is None or one.sent_at <= since + REMOVAL_GRACE:
                 continue
             if not _is_excused(disturbances, (one.router, left.id), arrival.at):
                 late = arrival.at - since
-                broken.append(f'{one.id} reached {left.id} {late:.2f} s after it said it leaves')
-    return broken
+                violations.append(
+                    f'{one.id} reached {left.id} {late:.2f} s after it said it leaves'
+                )
+    return violations
 
 
 def _find_signal_times(
-    told: Iterable[replica.Said], asked: Mapping[str, Asked]
+    signals: Iterable[replica.Said], outcomes: Mapping[str, Asked]
 ) -> dict[tuple[str, int], float]:
     """Return when routers knew of a replica's signal, by router and number of its process."""
-    heard: dict[tuple[str, int], float] = {}
-    for said in told:
-        one = asked.get(said.id)
+    known_since: dict[tuple[str, int], float] = {}
+    for signal in signals:
+        one = outcomes.get(signal.id)
         if one is not None and one.status == 200:
-            heard.setdefault((one.router, said.life), said.at + LINK_DELAY_MAX)
-    return heard
+            known_since.setdefault((one.router, signal.life), signal.at + LINK_DELAY_MAX)
+    return known_since
 
 
 def find_lost(
-    asked: Iterable[Asked],
+    outcomes: Iterable[Asked],
     replicas: Iterable[replica.Replica],
     stops: Sequence[Stop],
     grace: float,
@@ -380,13 +384,13 @@
     `grace` is the number of seconds from SIGTERM to the kill; `unplanned` has the starts and ends
     of unplanned faults.
     """
-    known = list(replicas)
-    broken = []
-    for one in asked:
+    targets = list(replicas)
+    violations = []
+    for one in outcomes:
         if one.status or one.seconds >= one.patience or _is_disturbed(one, unplanned):
             continue
-        runs = [run for r in known for run in r.runs if run.id == one.id]
-        if any(one.id in r.broken_off for r in known):
+        runs = [run for r in targets for run in r.runs if run.id == one.id]
+        if any(one.id in r.broken_off for r in targets):
             continue
         stop = max(
             (s for s in stops if s.router == one.router and s.at <= one.ended_at),
@@ -397,70 +401,72 @@
             one.seconds <= CLOSE_RACE_SECONDS or (stop and stop.may_leave_unread(one))
         ):
             continue
-        worked_until = max((r.worked_until.get(one.id, 0.0) for r in known), default=0.0)
+        worked_until = max((r.worked_until.get(one.id, 0.0) for r in targets), default=0.0)
         if stop is None or not _is_too_long(one, stop, grace, worked_until):
-            broken.append(_describe_lost(one, stop, len(runs), worked_until))
-    return broken
+            violations.append(_describe_lost(one, stop, len(runs), worked_until))
+    return violations
 
 
-def _is_disturbed(asked: Asked, unplanned: Sequence[tuple[float, float]]) -> bool:
+def _is_disturbed(outcome: Asked, unplanned: Sequence[tuple[float, float]]) -> bool:
     return any(
-        began <= asked.ended_at and asked.sent_at <= ended + UNPLANNED_FAULT_GRACE
+        began <= outcome.ended_at and outcome.sent_at <= ended + UNPLANNED_FAULT_GRACE
         for began, ended in unplanned
     )
 
 
-def _is_too_long(asked: Asked, stop: Stop, grace: float, worked_until: float) -> bool:
+def _is_too_long(outcome: Asked, stop: Stop, grace: float, worked_until: float) -> bool:
     """Return whether a stop may cut a stream: it was sent in time and its replica still works.
 
     A process that was paused cannot tell when its signal arrived, so that it counts the grace
     period from the start of the pause.
     """
-    in_time = asked.sent_at <= stop.at + ACCEPTED_AFTER_STOP
-    return asked.begun and in_time and worked_until >= stop.still_since + grace * STREAM_GRACE_SHARE
+    in_time = outcome.sent_at <= stop.at + ACCEPTED_AFTER_STOP
+    return (
+        outcome.begun and in_time and worked_until >= stop.still_since + grace * STREAM_GRACE_SHARE
+    )
 
 
-def _describe_lost(asked: Asked, stop: Stop | None, runs: int, worked_until: float) -> str:
+def _describe_lost(outcome: Asked, stop: Stop | None, runs: int, worked_until: float) -> str:
     text = (
-        f'{asked.id} ({asked.kind}, begun: {asked.begun}, runs: {runs}) got no answer from '
-        f'{asked.router} for {asked.seconds:.2f} s'
+        f'{outcome.id} ({outcome.kind}, begun: {outcome.begun}, runs: {runs}) got no answer from '
+        f'{outcome.router} for {outcome.seconds:.2f} s'
     )
     if stop is None:
         return text
-    sent, ended, worked = (t - stop.at for t in (asked.sent_at, asked.ended_at, worked_until))
+    sent, ended, worked = (t - stop.at for t in (outcome.sent_at, outcome.ended_at, worked_until))
     text += f'; from SIGTERM: sent {sent:+.2f} s, cut {ended:+.2f} s'
     return f'{text}, work until {worked:+.2f} s' if runs else text
 
 
-def _check_request(asked: Asked, runs: int) -> list[str]:
-    broken = []
-    once = asked.kind in RUN_ONCE_KINDS
+def _check_request(outcome: Asked, runs: int) -> list[str]:
+    violations = []
+    once = outcome.kind in RUN_ONCE_KINDS
     if once and runs > 1:
-        broken.append(f'{asked.id} ({asked.kind}) ran {runs} times')
-    if once and asked.status in NOT_RUN and runs:
-        broken.append(f'{asked.id} was told {asked.status} and ran')
-    if asked.status == 200 and asked.kind in STREAM_KINDS and asked.body != WHOLE:
-        broken.append(f'{asked.id} looks whole and is not')
-    if asked.echoed_id and asked.echoed_id != asked.id:
-        broken.append(f'{asked.id} got the answer of {asked.echoed_id}')
-    return broken
+        violations.append(f'{outcome.id} ({outcome.kind}) ran {runs} times')
+    if once and outcome.status in NOT_RUN and runs:
+        violations.append(f'{outcome.id} was told {outcome.status} and ran')
+    if outcome.status == 200 and outcome.kind in STREAM_KINDS and outcome.body != WHOLE:
+        violations.append(f'{outcome.id} looks whole and is not')
+    if outcome.echoed_id and outcome.echoed_id != outcome.id:
+        violations.append(f'{outcome.id} got the answer of {outcome.echoed_id}')
+    return violations
 
 
 def _check_orders(
-    replicas: Sequence[replica.Replica], order_gap: float, thaws: Sequence[Thaw]
+    replicas: Sequence[replica.Replica], order_gap: float, resumptions: Sequence[Thaw]
 ) -> list[str]:
     orders = sorted(
         (at, str(order['holder']), int(str(order['fencing_token'])))
-        for known in replicas
-        for at, order in known.taken
+        for target in replicas
+        for at, order in target.taken
         if not any(
-            t.name == order['holder'] and 0 <= at - t.at < RESUMED_ORDER_GRACE for t in thaws
+            t.name == order['holder'] and 0 <= at - t.at < RESUMED_ORDER_GRACE for t in resumptions
         )
     )
-    broken = []
+    violations = []
     for (at, holder, token), (later, other, next_token) in zip(orders, orders[1:], strict=False):
         if holder != other and later - at < order_gap:
-            broken.append(f'{holder} and {other} gave orders {later - at:.2f} s apart')
+            violations.append(f'{holder} and {other} gave orders {later - at:.2f} s apart')
         if next_token < token:
-            broken.append(f'the token fell from {token} to {next_token}')
-    return broken
+            violations.append(f'the token fell from {token} to {next_token}')
+    return violations
--- a/passpier/standins/platform/restarts.py
+++ b/passpier/standins/platform/restarts.py
@@ -49,27 +49,27 @@
         await asyncio.gather(*started)
 
     async def _restart_replica(self, ends_at: float) -> None:
-        known = self._pick()
-        if known is None:
+        chosen = self._pick()
+        if chosen is None:
             return
         moment = self._rng.choice(['at any time', 'during an order', 'during its replacement'])
         if moment == 'during an order':
-            await self._wait_for_order(known)
+            await self._wait_for_order(chosen)
         elif moment == 'during its replacement':
-            await self._faults.begin_replacement(known)
+            await self._faults.begin_replacement(chosen)
         left = ends_at + DOWNTIMES[1] - clocks.now()
         away = self._rng.choice([s for s in DOWNTIMES if s <= left] or DOWNTIMES[:1])
-        version = self._rng.choice([None, 1, max(1, known.version - 1)])
+        version = self._rng.choice([None, 1, max(1, chosen.version - 1)])
         self._faults.log_fault(
-            f'{known.id} crashes {moment}, back after {away} s, weights {version or "as before"}'
+            f'{chosen.id} crashes {moment}, back after {away} s, weights {version or "as before"}'
         )
-        known.crash()
+        chosen.crash()
         if away > ENTRY_TTL and self._rng.random() < 0.5:
             await asyncio.sleep(ENTRY_TTL)
-            self._targets.deployment.remove_replica(known.id)
+            self._targets.deployment.remove_replica(chosen.id)
             away -= ENTRY_TTL
         await asyncio.sleep(away)
-        self._targets.deployment.restart_replica(known.id, version if known.model else None)
+        self._targets.deployment.restart_replica(chosen.id, version if chosen.model else None)
 
     def _pick(self) -> replica.Replica | None:
         """Return a replica whose service has another ready one."""
@@ -82,12 +82,12 @@
         free = [r for r in ready if services.count(r.service) > 1]
         return self._rng.choice(free) if free else None
 
-    async def _wait_for_order(self, known: replica.Replica) -> None:
-        if not known.model:
+    async def _wait_for_order(self, chosen: replica.Replica) -> None:
+        if not chosen.model:
             return
         self._targets.release_version()
         ends_at = clocks.now() + ORDER_WAIT
-        while not known.loading and clocks.now() < ends_at:
+        while not chosen.loading and clocks.now() < ends_at:
             await asyncio.sleep(0.01)
 
 
@@ -122,18 +122,18 @@
 
     async def _overwrite(self) -> None:
         running = self._targets.deployment
-        known = self._rng.choice(list(running.replicas.values()))
-        if not running.has_entry(known.id):
+        chosen = self._rng.choice(list(running.replicas.values()))
+        if not running.has_entry(chosen.id):
             return
-        kind = self._rng.choice(list(foreign.build_values(known.render_entry())))
+        kind = self._rng.choice(list(foreign.build_values(chosen.render_entry())))
         seconds = self._rng.uniform(*OVERWRITE_DURATIONS)
         self._faults.log_fault(
-            f'the entry of {known.id} is overwritten ({kind}) for {seconds:.2f} s'
+            f'the entry of {chosen.id} is overwritten ({kind}) for {seconds:.2f} s'
         )
-        revision = running.overwrite_entry(known.id, kind)
+        revision = running.overwrite_entry(chosen.id, kind)
         began = clocks.now()
-        while clocks.now() < began + seconds and running.get_entry_revision(known.id) == revision:
+        while clocks.now() < began + seconds and running.get_entry_revision(chosen.id) == revision:
             await asyncio.sleep(0.01)
-        self.overwritten.append(promises.Unnamed(known.id, began, clocks.now()))
-        if running.get_entry_revision(known.id) == revision:
-            running.record(known.id)
+        self.overwritten.append(promises.Unnamed(chosen.id, began, clocks.now()))
+        if running.get_entry_revision(chosen.id) == revision:
+            running.record(chosen.id)
--- a/passpier/standins/platform/soak.py
+++ b/passpier/standins/platform/soak.py
@@ -138,7 +138,7 @@
 
     def _check_invariants(self) -> None:
         """Add every violation of an invariant to the report."""
-        self.report.asked = self._clients.asked
+        self.report.asked = self._clients.outcomes
         self.report.faults = self._faults.applied
         self.report.broken += self._faults.violations
         self.report.broken += promises.find_broken(
@@ -184,8 +184,8 @@
 
     async def _start(self) -> None:
         await self._deployment.start(routers=0)
-        for known in list(self._deployment.replicas.values()):
-            await self._targets.put_behind_proxy(known)
+        for target in list(self._deployment.replicas.values()):
+            await self._targets.put_behind_proxy(target)
         for number in range(self._plan.routers):
             router = routers.RouterProcess(number, self._folder, self._deployment.store_address)
             self._routers.append(router)
@@ -232,8 +232,8 @@
 
     async def _check_recovery(self) -> None:
         """Report what has not recovered some time after the last fault."""
-        for known in self._deployment.replicas.values():
-            known.faults = replica.Faults()
+        for target in self._deployment.replicas.values():
+            target.faults = replica.Faults()
         for router in self._routers:
             if not router.runs:
                 self.report.broken.append(f'{router.name} exited by itself')
--- a/passpier/standins/platform/stops.py
+++ b/passpier/standins/platform/stops.py
@@ -47,15 +47,15 @@
         await asyncio.gather(self._run_rounds(ends_at), self._slow_replicas(ends_at))
 
     async def _run_rounds(self, ends_at: float) -> None:
-        begun: list[asyncio.Task[None]] = []
+        started: list[asyncio.Task[None]] = []
         while clocks.now() < ends_at:
             free = [r for r in self._targets.routers if not r.busy]
             count = min(len(free) - 1, self._rng.randint(1, max(1, len(free) // 2)))
             for router in self._rng.sample(free, max(0, count)):
                 router.busy = True
-                begun.append(asyncio.ensure_future(self._stop(router)))
+                started.append(asyncio.ensure_future(self._stop(router)))
             await asyncio.sleep(self._rng.uniform(*ROUND_INTERVALS))
-        await asyncio.gather(*begun)
+        await asyncio.gather(*started)
 
     async def _stop(self, router: routers.RouterProcess) -> None:
         await asyncio.sleep(self._rng.uniform(0.0, STAGGER))
@@ -101,11 +101,11 @@
             router.send(signal.SIGHUP)
 
     async def _slow_replicas(self, ends_at: float) -> None:
-        begun: list[asyncio.Task[None]] = []
+        started: list[asyncio.Task[None]] = []
         while clocks.now() < ends_at:
-            begun.append(asyncio.ensure_future(self._slow_replica()))
+            started.append(asyncio.ensure_future(self._slow_replica()))
             await asyncio.sleep(self._rng.uniform(*SLOW_INTERVALS))
-        await asyncio.gather(*begun)
+        await asyncio.gather(*started)
 
     async def _slow_replica(self) -> None:
         chosen = self._rng.choice(list(self._targets.deployment.replicas.values()))
