--- a/passpier/standins/platform/soak.py
+++ b/passpier/standins/platform/soak.py
@@ -28,9 +28,9 @@
     clients,
     deployment,
     fault_injection,
+    lives,
     promises,
     replica,
-    restarts,
     routers,
     stops,
 )
@@ -109,10 +109,10 @@
             self._targets, self._faults, random.Random(f'silence {seed}')
         )
         self._stops = stops.StopInjector(self._targets, self._faults, random.Random(f'stop {seed}'))
-        self._restarts = restarts.RestartInjector(
+        self._restarts = lives.RestartInjector(
             self._targets, self._faults, random.Random(f'life {seed}')
         )
-        self._foreign_entries = restarts.ForeignEntryInjector(
+        self._foreign_entries = lives.ForeignEntryInjector(
             self._targets, self._faults, random.Random(f'foreign {seed}')
         )
         self._backpressure = backpressure.BackpressureInjector(
