--- a/passpier/standins/fleet/limits.py
+++ b/passpier/standins/fleet/limits.py
@@ -20,6 +20,8 @@
 """Seconds of one step of the simulation."""
 
 TOLERANCE = buckets.Tolerance(8.0, 0.1, 110_000)
+"""Tolerated excess over the limit in a window."""
+
 LATENCY = (0.002, 0.06)
 """Range of the seconds that a message takes through the network and a busy event loop."""
 
@@ -27,6 +29,7 @@
 """Possible numbers of tokens of a request."""
 
 UPDATE_INTERVAL = 0.1
+"""Seconds between two messages of a daemon to each other one."""
 
 
 @dataclasses.dataclass
--- a/passpier/standins/platform/leaving.py
+++ b/passpier/standins/platform/leaving.py
@@ -34,7 +34,10 @@
 
 KINDS = ('safe', 'once', 'stream', 'resume')
 PATIENCE_MS = 5000
+"""Deadline of the requests in milliseconds."""
+
 READY_SECONDS = 20.0
+"""Seconds within which all routers have to be ready."""
 
 
 @dataclasses.dataclass(slots=True)
--- a/passpier/standins/platform/replica.py
+++ b/passpier/standins/platform/replica.py
@@ -175,9 +175,13 @@
     loading: bool = False
     runs: list[Run] = dataclasses.field(default_factory=list)
     finished: list[str] = dataclasses.field(default_factory=list)
+    """Requests that were answered completely."""
+
     dropped: list[str] = dataclasses.field(default_factory=list)
+    """Requests whose caller disconnected."""
+
     abandoned_at: dict[str, float] = dataclasses.field(default_factory=dict)
-    """When the disconnect of the caller was noticed, by the id of each abandoned request."""
+    """When the disconnect of the caller was noticed, by request id."""
 
     worked_until: dict[str, float] = dataclasses.field(default_factory=dict)
     """When the work on each request ended or its caller disconnected."""
--- a/passpier/standins/platform/stops.py
+++ b/passpier/standins/platform/stops.py
@@ -19,14 +19,22 @@
 """Maximum seconds for which a process is paused around its SIGTERM."""
 
 PAUSE_SHARE = 0.4
+"""Share of stops with a pause around the SIGTERM."""
+
 REPEAT_SHARE = 0.5
+"""Share of stops with a second SIGTERM."""
+
 RELOAD_SHARE = 0.5
+"""Share of stops with a SIGHUP after the SIGTERM."""
 
 SLOW_INTERVALS = (0.5, 3.0)
 """Minimum and maximum seconds between two times at which a replica becomes slow."""
 
 SLOW_FACTORS = (2.0, 8.0)
+"""Minimum and maximum factor by which a replica is slowed down."""
+
 SLOW_SECONDS = (1.0, 5.0)
+"""Minimum and maximum seconds for which a replica is slow."""
 
 
 class StopInjector:
