--- a/passpier/standins/platform/clients.py
+++ b/passpier/standins/platform/clients.py
@@ -36,18 +36,18 @@
 
 
 class Clients:
-    """Sends random requests to routers; `asked` has the outcomes."""
+    """Sends random requests to routers and records their outcomes."""
 
     def __init__(
         self,
         running: deployment.Deployment,
-        known: list[routers.RouterProcess],
+        processes: list[routers.RouterProcess],
         seed: int,
         rng: random.Random,
     ) -> None:
-        self.asked: list[promises.Asked] = []
+        self.outcomes: list[promises.Asked] = []
         self._running = running
-        self._routers = known
+        self._routers = processes
         self._rng = rng
         self._long_rng = random.Random(f'long {seed}')
         self._resolved: dict[str, tuple[float, list[str]]] = {}
@@ -109,25 +109,25 @@
         given = deployment.build_headers(id, int(patience * 1000), key)
         request = exchanges.Request('POST', f'/{kind}/x', [*given, *headers], b'question')
         began = clocks.now()
-        seen = await self._running.observe_at(router.client_link.address, request, patience)
+        observed = await self._running.observe_at(router.client_link.address, request, patience)
         seconds = clocks.now() - began
         echoed_id = ''
-        if seen.status:
-            assert seen.head is not None
-            echoed_id = seen.head.get(names.REQUEST_ID) or 'nobody'
-        self.asked.append(
+        if observed.status:
+            assert observed.head is not None
+            echoed_id = observed.head.get(names.REQUEST_ID) or 'nobody'
+        self.outcomes.append(
             promises.Asked(
                 id,
                 kind,
                 key,
                 began,
-                seen.status,
-                seen.body,
+                observed.status,
+                observed.body,
                 seconds,
                 echoed_id,
                 router.name,
                 patience,
-                seen.head is not None,
+                observed.head is not None,
             )
         )
 
--- a/passpier/standins/platform/deployment.py
+++ b/passpier/standins/platform/deployment.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ObservedReply:
+class ObservedResponse:
     """What a client received of a response; the status is 0 if the response is incomplete."""
 
     status: int = 0
@@ -112,10 +112,10 @@
         A crashed replica restarts under its id after `away` seconds.
         """
         loop = asyncio.get_running_loop()
-        for known in self.replicas.values():
-            known.crash_body = body
-            known.on_crash = functools.partial(
-                loop.call_later, away, self.restart_replica, known.id
+        for target in self.replicas.values():
+            target.crash_body = body
+            target.on_crash = functools.partial(
+                loop.call_later, away, self.restart_replica, target.id
             )
 
     def restart_replica(self, id: str, version: int | None = None, born: int | None = None) -> None:
@@ -207,9 +207,9 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for server in self._servers:
             server.stop()
-        for known in self._started_replicas:
-            if known.server is not None:
-                known.server.stop()
+        for target in self._started_replicas:
+            if target.server is not None:
+                target.server.stop()
         self.pool.close()
 
     async def ask(self, path: str, entry: int = 0, **given: Any) -> Reply:
@@ -237,33 +237,33 @@
 
     async def observe_at(
         self, address: str, request: exchanges.Request, patience: float
-    ) -> ObservedReply:
+    ) -> ObservedResponse:
         """Send a client request to an address and return what arrives of the response."""
-        seen = ObservedReply()
+        observed = ObservedResponse()
         exchange: exchanges.Exchange | None = None
         try:
             async with asyncio.timeout(patience + RESPONSE_SLACK):
                 exchange = await self.pool.open(address, request)
-                seen.head = await exchange.read_head()
+                observed.head = await exchange.read_head()
                 answer = await exchange.read_all()
-                seen.status, seen.body = answer.head.status, answer.body
+                observed.status, observed.body = answer.head.status, answer.body
         except (TimeoutError, exchanges.ExchangeError) as error:
-            seen.error = str(error) or 'timed out'
+            observed.error = str(error) or 'timed out'
             if exchange is not None and not exchange.heard:
                 exchange.note_silent()
         finally:
             if exchange is not None:
                 exchange.close()
-        return seen
+        return observed
 
     def list_runs(self, id: str) -> list[replica.Run]:
         """Return all runs of a request, on any replica."""
-        return [r for known in self.replicas.values() for r in known.runs if r.id == id]
+        return [r for target in self.replicas.values() for r in target.runs if r.id == id]
 
     def _sees_all(self, process: router.Router) -> bool:
         now = clocks.now()
-        seen = process.roster.membership.list_serving(now)
-        enough = len(seen) >= len(self.routers)
+        serving = process.roster.membership.list_serving(now)
+        enough = len(serving) >= len(self.routers)
         return enough and len(process.pools.replicas) >= len(self.replicas)
 
     def _start_replica(self, started: replica.Replica) -> None:
--- a/passpier/standins/platform/fault_injection.py
+++ b/passpier/standins/platform/fault_injection.py
@@ -59,12 +59,12 @@
         self.released[version] = clocks.now()
         self.deployment.name_version(version)
 
-    async def put_behind_proxy(self, known: replica.Replica) -> None:
+    async def put_behind_proxy(self, target: replica.Replica) -> None:
         """Start a proxy for a replica and register the replica at the proxy's address."""
-        link = self.links[known.id] = proxy.Proxy(known.address)
+        link = self.links[target.id] = proxy.Proxy(target.address)
         await link.start()
-        known.address = link.address
-        self.deployment.record(known.id)
+        target.address = link.address
+        self.deployment.record(target.id)
 
 
 class FaultInjector:
@@ -240,7 +240,7 @@
         self.disturbances += [promises.Disturbance(id, began, now) for id in held]
 
     async def _inject_replica_fault(self) -> None:
-        fault = self._rng.choice(['refuse', 'fail', 'lose', 'cut', 'swap_id', 'fail_503'])
+        fault = self._rng.choice(['refuse', 'fail', 'lose', 'cut', 'swap', 'lie'])
         chosen = self._rng.choice(list(self._targets.deployment.replicas.values()))
         self.log_fault(f'{chosen.id}: fault {fault}', 1.0)
         setattr(chosen.faults, fault, self._rng.randint(2, 6))
--- a/passpier/standins/platform/play.py
+++ b/passpier/standins/platform/play.py
@@ -61,7 +61,7 @@
         return '\n'.join(lines)
 
 
-class Play:
+class FaultRun:
     """One run with a seed."""
 
     def __init__(
@@ -156,7 +156,7 @@
         return self._rng.choice(list(self._running.replicas.values()))
 
     async def _inject_replica_fault(self) -> None:
-        fault = self._rng.choice(['refuse', 'fail', 'lose', 'cut', 'swap_id', 'fail_503'])
+        fault = self._rng.choice(['refuse', 'fail', 'lose', 'cut', 'swap', 'lie'])
         setattr(self._pick().faults, fault, self._rng.randint(2, 6))
 
     async def _silence_replica(self) -> None:
@@ -245,7 +245,7 @@
 ) -> Report:
     """Run one seed on a new deployment; with `asks` replicas send backpressure signals."""
     async with deployment.running(routers) as running:
-        return await Play(running, seed, rate, asks).run(seconds)
+        return await FaultRun(running, seed, rate, asks).run(seconds)
 
 
 def main(
