--- a/passpier/platform/main.py
+++ b/passpier/platform/main.py
@@ -39,7 +39,7 @@
 until it expires."""
 
 DRAIN_FRACTION = 0.88
-"""Fraction of the grace period before SIGKILL in which requests may finish during a planned stop.
+"""Fraction of the grace period before SIGKILL in which requests may finish during a drain.
 The rest is for the last responses, deregistration, the last messages to peers and the exit of the
 interpreter."""
 
@@ -92,7 +92,7 @@
 
 
 async def run(path: str, mtime: int, loaded: settings.Settings, metrics_port: int) -> None:
-    """Serve until a planned stop is complete; `mtime` is that of the loaded settings file."""
+    """Serve until the drain is complete; `mtime` is that of the loaded settings file."""
     pool = connections.Pool()
     adapter = router.Adapter(
         platform_dialect.Requests(),
@@ -109,7 +109,7 @@
     loop.add_signal_handler(signal.SIGHUP, _reload_settings, path, process)
     watcher = asyncio.ensure_future(_watch_file(path, mtime, process))
     await process.run()
-    # The stop is complete: a late SIGTERM must not terminate the process with an error.
+    # The drain is complete: a late SIGTERM must not terminate the process with an error.
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
     watcher.cancel()
 
@@ -117,13 +117,13 @@
 def _handle_sigterm(
     loop: asyncio.AbstractEventLoop, process: router.Router, number: int, frame: object
 ) -> None:
-    """Begin a planned stop; runs before the next iteration of the event loop."""
+    """Begin to drain; runs before the next iteration of the event loop."""
     if not loop.is_closed():
         loop.call_soon_threadsafe(process.begin_stop, process.turned_at)
 
 
 def _handle_sigint(process: router.Router) -> None:
-    """Begin a planned stop at the first Ctrl+C, and stop immediately at the second."""
+    """Begin to drain at the first Ctrl+C, and stop immediately at the second."""
     if process.stopping:
         process.force_stop()
     else:
--- a/passpier/tests/platform/backoff_tests.py
+++ b/passpier/tests/platform/backoff_tests.py
@@ -1,6 +1,6 @@
-"""Replicas that reject a request and tell its router to back off.
+"""Replicas that refuse a request and tell its router to back off.
 
-Guards against routers that ignore `Retry-After`: a replica that rejects requests looks idle, so it
+Guards against routers that ignore `Retry-After`: a replica that refuses requests looks idle, so it
 was the cheapest choice and got three to four more requests within the backoff; two are tolerated.
 """
 
@@ -28,7 +28,7 @@
     async def check(running: deployment.Deployment) -> None:
         refusing = running.replicas[f'{service}-0']
         refusing.faults.backoff = BACKOFF
-        # Rejected requests never run, so this replica always looks idle.
+        # Refused requests never run, so this replica always looks idle.
         harness.set_processing_time(running, 0.2)
         path = '/stream/x' if service == 'llm' else '/safe/x'
         rng = random.Random(45)
@@ -54,7 +54,7 @@
     harness.run_check(check, routers=2)
 
 
-def test_requests_are_rejected_at_once_while_all_replicas_back_off() -> None:
+def test_requests_are_refused_at_once_while_all_replicas_back_off() -> None:
     async def check(running: deployment.Deployment) -> None:
         for replica in running.replicas.values():
             replica.faults.backoff = 3.0
--- a/passpier/tests/platform/backpressure_tests.py
+++ b/passpier/tests/platform/backpressure_tests.py
@@ -47,7 +47,7 @@
         ('Wed, 21 Oct 2026 07:28:00 GMT', None),
     ],
 )
-def test_rejections_may_carry_a_backoff_in_seconds(text: str, backoff: float | None) -> None:
+def test_refusals_may_carry_a_backoff_in_seconds(text: str, backoff: float | None) -> None:
     assert read_signal(('Retry-After', text), status=503).backoff == backoff
 
 
--- a/passpier/tests/platform/departures_tests.py
+++ b/passpier/tests/platform/departures_tests.py
@@ -57,7 +57,7 @@
     harness.run_check(check)
 
 
-def test_requests_are_rejected_at_once_while_all_replicas_leave() -> None:
+def test_requests_are_refused_at_once_while_all_replicas_leave() -> None:
     async def check(running: deployment.Deployment) -> None:
         for replica in running.replicas.values():
             replica.faults.leaves = True
--- a/passpier/tests/platform/fleet_tests.py
+++ b/passpier/tests/platform/fleet_tests.py
@@ -1,4 +1,4 @@
-"""Several routers: weight rollouts, members, planned stops, configuration, keys, store faults."""
+"""Several routers: weight rollouts, membership, drains, configuration, keys, store faults."""
 
 from __future__ import annotations
 
@@ -120,7 +120,7 @@
     run_check(check, routers=2)
 
 
-def test_revoked_key_is_rejected() -> None:
+def test_revoked_key_is_refused() -> None:
     async def check(running: deployment.Deployment) -> None:
         assert (await running.ask('/safe/x', key='secret-2')).status == 200
         running.configure(tenants=running.configuration['tenants'][:1])
@@ -132,7 +132,7 @@
     run_check(check)
 
 
-def test_keys_are_rejected_once_the_configuration_may_be_outdated() -> None:
+def test_keys_are_refused_once_the_configuration_may_be_outdated() -> None:
     async def check(running: deployment.Deployment) -> None:
         running.faults.down = True
         key_bound = running.routers[0].options.key_bound
@@ -255,7 +255,7 @@
     run_check(check, routers=4)
 
 
-def test_planned_stop_completes_all_requests() -> None:
+def test_drain_completes_all_requests() -> None:
     async def check(running: deployment.Deployment) -> None:
         for stand_in in running.replicas.values():
             stand_in.work = 0.4
@@ -281,7 +281,7 @@
     run_check(check)
 
 
-def test_request_late_in_a_stop_is_rejected_instead_of_interrupted() -> None:
+def test_request_late_in_a_drain_is_refused_instead_of_interrupted() -> None:
     async def check(running: deployment.Deployment) -> None:
         for stand_in in running.replicas.values():
             stand_in.work = 4.5
--- a/passpier/tests/platform/leaving_tests.py
+++ b/passpier/tests/platform/leaving_tests.py
@@ -231,7 +231,7 @@
     harness.run_check(check)
 
 
-def test_planned_stop_waits_for_non_idempotent_requests() -> None:
+def test_drain_waits_for_non_idempotent_requests() -> None:
     async def check(running: deployment.Deployment) -> None:
         harness.set_processing_time(running, 0.6)
         client = connect(running)
--- a/passpier/tests/platform/limits_tests.py
+++ b/passpier/tests/platform/limits_tests.py
@@ -1,4 +1,4 @@
-"""Rate limits of accounts: which requests run, which are rejected, and with which response."""
+"""Rate limits of accounts: which requests run, which are refused, and with which response."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
     harness.run_check(check)
 
 
-def test_account_without_a_rate_is_never_rejected() -> None:
+def test_account_without_a_rate_is_never_refused() -> None:
     async def check(running: deployment.Deployment) -> None:
         set_rate(running, 0)
         replies = [await running.ask('/stream/x', headers=PROMPT) for _ in range(20)]
--- a/passpier/tests/platform/path_tests.py
+++ b/passpier/tests/platform/path_tests.py
@@ -76,7 +76,7 @@
     harness.run_check(check)
 
 
-def test_body_over_the_limit_is_rejected() -> None:
+def test_body_over_the_limit_is_refused() -> None:
     async def check(running: deployment.Deployment) -> None:
         reply = await running.ask('/safe/x', body=b'x' * 100_001, id='one')
         assert reply.status == 413
@@ -162,7 +162,7 @@
     harness.run_check(check)
 
 
-def test_without_replicas_requests_are_rejected_at_once_with_retry_after() -> None:
+def test_without_replicas_requests_are_refused_at_once_with_retry_after() -> None:
     async def check(running: deployment.Deployment) -> None:
         for id in list(running.replicas):
             running.remove_replica(id)
--- a/passpier/tests/platform/soak_tests.py
+++ b/passpier/tests/platform/soak_tests.py
@@ -172,14 +172,14 @@
         (95.0, 9.0, 104.0, False),
     ],
 )
-def test_started_stream_may_be_interrupted_only_at_the_end_of_a_stop(
+def test_started_stream_may_be_interrupted_only_at_the_end_of_a_drain(
     sent_at: float, seconds: float, worked_until: float, found: bool
 ) -> None:
     lost = find_lost('patient', sent_at, seconds, worked_until=worked_until)
     assert bool(lost) == found
 
 
-def test_stop_may_count_from_the_start_of_a_process_pause() -> None:
+def test_drain_may_count_from_the_start_of_a_process_pause() -> None:
     client_request = promises.Asked(
         'a', 'patient', 'k', 99.7, 0, b'', 5.0, '', 'vm-0', 9.0, begun=True
     )
@@ -190,7 +190,7 @@
         assert len(promises.find_lost([client_request], [stand_in], [stop], GRACE)) == found
 
 
-def test_request_without_a_response_at_the_end_of_a_stop_is_lost() -> None:
+def test_request_without_a_response_at_the_end_of_a_drain_is_lost() -> None:
     assert find_lost('slow', 102.0, 3.7, begun=False, worked_until=105.7)
     assert find_lost('patient', 102.0, 3.7, begun=False, worked_until=105.7)
 
--- a/passpier/tests/platform/stopping_tests.py
+++ b/passpier/tests/platform/stopping_tests.py
@@ -1,13 +1,13 @@
-"""Planned stops: every request that a stopping process accepts gets a response.
+"""Draining before a stop: every request that a draining process accepts gets a response.
 
 Guards against a process that exits while clients wait. A request sent 5.0 s after SIGTERM lost its
 connection without a response at 5.7 s: a request whose body was still arriving did not count as in
 flight, and closing the sockets to peers blocked the event loop for half a second, the time allowed
 for messages to a peer that was gone, while the connections of clients were still open. The time
 from deregistration to exit was either 0.01 s or 0.5 s in 40 stops. See
-`test_stop_waits_for_a_partly_received_request` and `daemon/peers_tests`.
+`test_drain_waits_for_a_partly_received_request` and `daemon/peers_tests`.
 
-Related faults covered here: SIGTERM that is handled late, a second SIGTERM that ends the stop, an
+Related faults covered here: SIGTERM that is handled late, a second SIGTERM that ends the drain, an
 exit without responses, a registry that is slow during deregistration.
 """
 
@@ -30,7 +30,7 @@
 from passpier.tests.platform import harness, leaving_tests
 
 PERSISTENT_CLIENTS = 12
-"""Clients that keep sending requests to a stopping process."""
+"""Clients that keep sending requests to a draining process."""
 
 LOSS_TOLERANCE = 0.45
 """Seconds between the last byte of a request and the close of its connection from which the request
@@ -38,7 +38,7 @@
 reads nothing in that time; the fault that this test guards against blocked the loop for 0.5 s."""
 
 SHORT_STOP = 1.0
-"""Seconds that a stop may take in tests in which the running requests take longer."""
+"""Seconds that a drain may take in tests in which the running requests take longer."""
 
 
 async def connect(address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -103,7 +103,7 @@
     harness.run_process_check(tmp_path, check)
 
 
-def test_running_request_gets_unknown_outcome_at_the_end_of_a_stop(tmp_path: pathlib.Path) -> None:
+def test_running_request_gets_unknown_outcome_at_the_end_of_a_drain(tmp_path: pathlib.Path) -> None:
     async def check(running: deployment.Deployment, process: routers.RouterProcess) -> None:
         harness.set_processing_time(running, 20.0)
         pending = asyncio.ensure_future(
@@ -116,7 +116,7 @@
     harness.run_process_check(tmp_path, check)
 
 
-def test_queued_request_is_rejected_as_not_run_at_the_end_of_a_stop() -> None:
+def test_queued_request_is_refused_as_not_run_at_the_end_of_a_drain() -> None:
     async def check(running: deployment.Deployment) -> None:
         harness.set_processing_time(running, 20.0)
         running.configure(
@@ -124,7 +124,7 @@
         )
         plain = [r for r in running.replicas.values() if not r.model]
         for replica in plain:
-            # The registry entries have one slot, but the replicas accept more and reject nothing.
+            # The registry entries have one slot, but the replicas accept more and refuse nothing.
             slots, replica.slots = replica.slots, 1
             running.record(replica.id)
             replica.slots = slots
@@ -146,7 +146,7 @@
     harness.run_check(check, routers=0)
 
 
-def test_interrupted_stream_does_not_look_complete_at_the_end_of_a_stop() -> None:
+def test_interrupted_stream_does_not_look_complete_at_the_end_of_a_drain() -> None:
     async def check(running: deployment.Deployment) -> None:
         for replica in running.replicas.values():
             replica.events = 100_000
@@ -190,7 +190,7 @@
     harness.run_process_check(tmp_path, check)
 
 
-def test_stop_waits_for_a_partly_received_request(tmp_path: pathlib.Path) -> None:
+def test_drain_waits_for_a_partly_received_request(tmp_path: pathlib.Path) -> None:
     async def check(running: deployment.Deployment, process: routers.RouterProcess) -> None:
         reader, writer = await connect(process.caller)
         body = b'x' * 1000
@@ -222,7 +222,7 @@
     harness.run_process_check(tmp_path, check)
 
 
-def test_response_being_written_at_the_end_of_a_stop_is_completed() -> None:
+def test_response_being_written_at_the_end_of_a_drain_is_completed() -> None:
     """The upstream has completed the request; only the client has not read the response yet."""
 
     async def check(running: deployment.Deployment) -> None:
@@ -246,7 +246,7 @@
     harness.run_check(check, routers=0)
 
 
-def test_reloaded_bound_applies_to_the_next_stop() -> None:
+def test_reloaded_bound_applies_to_the_next_drain() -> None:
     async def check(running: deployment.Deployment) -> None:
         harness.set_processing_time(running, 20.0)
         process = running.add_router('vm-0', 'zone-0', stop_bound=60.0)
@@ -311,7 +311,7 @@
 ) -> None:
     """Guards against a process that exits while requests are on their way to it.
 
-    Clients that keep using an address keep a stopping process busy until it exits, so that their
+    Clients that keep using an address keep a draining process busy until it exits, so that their
     requests are open during each of its last steps.
     """
 
--- a/passpier/tests/platform/suspended_tests.py
+++ b/passpier/tests/platform/suspended_tests.py
@@ -111,7 +111,7 @@
     run_check(check)
 
 
-def test_planned_stop_ends_once_its_time_is_over(vm: suspension.Suspension) -> None:
+def test_drain_ends_once_its_time_is_over(vm: suspension.Suspension) -> None:
     async def check(running: deployment.Deployment) -> None:
         pending = await start_slow_request(running, patience_ms=9000)
         (process,) = running.routers
--- a/passpier/tests/platform/throttling_tests.py
+++ b/passpier/tests/platform/throttling_tests.py
@@ -60,7 +60,7 @@
     harness.run_check(check, routers=3)
 
 
-def test_requests_are_rejected_at_once_while_all_replicas_are_at_their_limits() -> None:
+def test_requests_are_refused_at_once_while_all_replicas_are_at_their_limits() -> None:
     async def check(running: deployment.Deployment) -> None:
         for stand_in in running.replicas.values():
             stand_in.faults.limit = 0.0
