--- a/passpier/tests/routing/pools_tests.py
+++ b/passpier/tests/routing/pools_tests.py
@@ -5,7 +5,7 @@
 import pytest
 
 from passpier import clocks
-from passpier.core import catalogue, lives, pauses, replicas, routes
+from passpier.core import catalogue, pauses, replica_processes, replicas, routes
 from passpier.routing import pools
 
 
@@ -33,9 +33,9 @@
     """
     replica_pools.record_release('m', 8, 100.0, 100.0)
     replica_pools.record_release('m', 9, 105.5, 105.5)
-    replica_pools.learn_version(lives.Life('r0'), 7, 'registry')
-    replica_pools.learn_version(lives.Life('r1'), 8, 'registry')
-    replica_pools.learn_version(lives.Life('r2'), 9, 'registry')
+    replica_pools.learn_version(replica_processes.ReplicaProcess('r0'), 7, 'registry')
+    replica_pools.learn_version(replica_processes.ReplicaProcess('r1'), 8, 'registry')
+    replica_pools.learn_version(replica_processes.ReplicaProcess('r2'), 9, 'registry')
     monkeypatch.setattr(clocks, 'now', lambda: 109.0)
     serving = {r.name for r in replica_pools.list_serving('s')}
     assert serving & {'r0', 'r1', 'r2'} == {'r1', 'r2'}
@@ -46,33 +46,47 @@
 ) -> None:
     """A late message on version 8, while the replica loaded 9, had it sent requests it rejected."""
     replica_pools.pause(
-        lives.Life('r0'), pauses.Pause.LOADING, pools.PAUSE_LOADING, 'is to load', 9
+        replica_processes.ReplicaProcess('r0'),
+        pauses.Pause.LOADING,
+        pools.PAUSE_LOADING,
+        'is to load',
+        9,
     )
-    replica_pools.learn_version(lives.Life('r0'), 8, 'registry')
-    replica_pools.resume(lives.Life('r0'), pauses.Pause.LOADING, 8)
+    replica_pools.learn_version(replica_processes.ReplicaProcess('r0'), 8, 'registry')
+    replica_pools.resume(replica_processes.ReplicaProcess('r0'), pauses.Pause.LOADING, 8)
     assert not replicas.is_open(replica_pools.get('r0'), 100.0)
     monkeypatch.setattr(clocks, 'now', lambda: 100.5)
-    replica_pools.learn_version(lives.Life('r0'), 9, 'registry')
+    replica_pools.learn_version(replica_processes.ReplicaProcess('r0'), 9, 'registry')
     assert replicas.is_open(replica_pools.get('r0'), 100.5)
 
 
 def test_the_end_of_one_pause_does_not_end_another(replica_pools: pools.Pools) -> None:
     """An unresponsive replica got requests after another process had had it load weights."""
-    replica_pools.pause(lives.Life('r0'), pauses.Pause.SILENT, 1.4, 'gives no answer')
     replica_pools.pause(
-        lives.Life('r0'), pauses.Pause.LOADING, pools.PAUSE_LOADING, 'is to load', 2
+        replica_processes.ReplicaProcess('r0'), pauses.Pause.SILENT, 1.4, 'gives no answer'
     )
-    replica_pools.learn_version(lives.Life('r0'), 2, 'peer')
+    replica_pools.pause(
+        replica_processes.ReplicaProcess('r0'),
+        pauses.Pause.LOADING,
+        pools.PAUSE_LOADING,
+        'is to load',
+        2,
+    )
+    replica_pools.learn_version(replica_processes.ReplicaProcess('r0'), 2, 'peer')
     assert not replicas.is_open(replica_pools.get('r0'), 100.0)
-    replica_pools.resume(lives.Life('r0'), pauses.Pause.SILENT)
+    replica_pools.resume(replica_processes.ReplicaProcess('r0'), pauses.Pause.SILENT)
     assert replicas.is_open(replica_pools.get('r0'), 100.0)
 
 
 def test_an_order_that_failed_ends_its_pause(replica_pools: pools.Pools) -> None:
     replica_pools.pause(
-        lives.Life('r0'), pauses.Pause.LOADING, pools.PAUSE_LOADING, 'is to load', 2
+        replica_processes.ReplicaProcess('r0'),
+        pauses.Pause.LOADING,
+        pools.PAUSE_LOADING,
+        'is to load',
+        2,
     )
-    replica_pools.resume(lives.Life('r0'), pauses.Pause.LOADING, 2)
+    replica_pools.resume(replica_processes.ReplicaProcess('r0'), pauses.Pause.LOADING, 2)
     assert replicas.is_open(replica_pools.get('r0'), 100.0)
 
 
--- a/passpier/tests/routing/rate_limiting_tests.py
+++ b/passpier/tests/routing/rate_limiting_tests.py
@@ -94,7 +94,7 @@
         fleet.end()
         rounds = 5.0 / rate_limiting.INTERVAL
         # Some are named to clients without being used yet.
-        sharing = SERVING + entries.LEAST_ACTIVE
+        sharing = SERVING + entries.MIN_ACTIVE
         assert sent <= 1.2 * rounds * sharing * (sharing - 1)
         assert fleet.processes[0].limiter.book.compute_share(clocks.now()) == 1.0
 
--- a/passpier/tests/routing/releases_tests.py
+++ b/passpier/tests/routing/releases_tests.py
@@ -9,7 +9,7 @@
 import pytest
 
 from passpier import clocks
-from passpier.core import namings
+from passpier.core import weight_releases
 from passpier.tests.routing import fleets
 
 pytestmark = pytest.mark.usefixtures('virtual_clock')
@@ -120,7 +120,9 @@
         weights.release(2)
         await asyncio.sleep(3.0)
         fleet.restart(0)
-        await asyncio.sleep(fleets.VERSION_BOUND - 3.0 - namings.OLD_WEIGHTS_MARGIN - FRESHNESS_AGE)
+        await asyncio.sleep(
+            fleets.VERSION_BOUND - 3.0 - weight_releases.OLD_WEIGHTS_MARGIN - FRESHNESS_AGE
+        )
         assert all('r1' in p.list_used() for p in fleet.processes)
         await asyncio.sleep(FRESHNESS_AGE)
         assert not any('r1' in p.list_used() for p in fleet.processes)
--- a/passpier/tests/routing/replica_restarts_tests.py
+++ b/passpier/tests/routing/replica_restarts_tests.py
@@ -17,7 +17,16 @@
 
 from passpier import clocks
 from passpier.clients import exchanges, registry
-from passpier.core import attempts, catalogue, choice, lives, members, pauses, prompts, routes
+from passpier.core import (
+    attempts,
+    catalogue,
+    choice,
+    members,
+    pauses,
+    prompts,
+    replica_processes,
+    routes,
+)
 from passpier.daemon import loads, messages, peers
 from passpier.routing import (
     dialect,
@@ -38,15 +47,15 @@
 
 ID = 'r1'
 MODEL = 'model'
-OLD = lives.Life(ID, 1000)
-NEW = lives.Life(ID, 2000)
+OLD = replica_processes.ReplicaProcess(ID, 1000)
+NEW = replica_processes.ReplicaProcess(ID, 2000)
 OLD_VERSIONS = (7, 8, 9)
 NEW_VERSIONS = (1, 2, 3)
 PEER = 'i-peer'
 
 
 def make_entry(
-    replica_process: lives.Life, version: int, draining: bool = False
+    replica_process: replica_processes.ReplicaProcess, version: int, draining: bool = False
 ) -> catalogue.Entry:
     return catalogue.Entry(
         replica_process.id,
@@ -56,7 +65,7 @@
         8,
         draining,
         {MODEL: version},
-        replica_process.born,
+        replica_process.started_ms,
     )
 
 
@@ -79,7 +88,9 @@
 
     def decode_replica(self, id: str, data: bytes) -> catalogue.Entry:
         born, version, state = data.decode().split()
-        return make_entry(lives.Life(id, int(born)), int(version), state == 'draining')
+        return make_entry(
+            replica_processes.ReplicaProcess(id, int(born)), int(version), state == 'draining'
+        )
 
     def decode_named_version(self, data: bytes) -> tuple[str, int]:
         return MODEL, int(data)
@@ -116,50 +127,56 @@
         self.known.take_changes(registry.Changes(items, revision, now, now), 0.0, now)
 
     def record(
-        self, revision: int, replica_process: lives.Life, version: int, state: str = 'ready'
+        self,
+        revision: int,
+        replica_process: replica_processes.ReplicaProcess,
+        version: int,
+        state: str = 'ready',
     ) -> None:
-        self.put(revision, f'replicas/{ID}', f'{replica_process.born} {version} {state}'.encode())
+        self.put(
+            revision, f'replicas/{ID}', f'{replica_process.started_ms} {version} {state}'.encode()
+        )
 
 
 Event = Callable[[Process], Any]
 
 
-def report(replica_process: lives.Life, version: int) -> Event:
+def report(replica_process: replica_processes.ReplicaProcess, version: int) -> Event:
     """A report of one process, in response to a request to whichever process is known."""
 
     def happen(process: Process) -> None:
-        received = dialect.Report({MODEL: version}, False, 1, 0, 0, replica_process.born)
-        process.known.apply_report(process.pools.get(ID).life, received)
+        received = dialect.Report({MODEL: version}, False, 1, 0, 0, replica_process.started_ms)
+        process.known.apply_report(process.pools.get(ID).process, received)
 
     return happen
 
 
-def answer(replica_process: lives.Life, version: int) -> Event:
+def answer(replica_process: replica_processes.ReplicaProcess, version: int) -> Event:
     return lambda process: process.pools.learn_version(replica_process, version, 'answer')
 
 
-def loaded(replica_process: lives.Life, version: int) -> Event:
-    message = messages.Loaded(ID, version, version, replica_process.born)
+def loaded(replica_process: replica_processes.ReplicaProcess, version: int) -> Event:
+    message = messages.Loaded(ID, version, version, replica_process.started_ms)
     return lambda process: process.rollouts._handle_loaded(PEER, 'p:1', message)
 
 
-def loading(replica_process: lives.Life, version: int) -> Event:
-    message = messages.Loading(ID, 100.0, version, replica_process.born)
+def loading(replica_process: replica_processes.ReplicaProcess, version: int) -> Event:
+    message = messages.Loading(ID, 100.0, version, replica_process.started_ms)
     return lambda process: process.rollouts._handle_loading(PEER, 'p:1', message)
 
 
-def placed(replica_process: lives.Life, version: int) -> Event:
+def placed(replica_process: replica_processes.ReplicaProcess, version: int) -> Event:
     job = make_job()
-    rows = [(ID, replica_process.born, str(version), job.chain, list(job.ends))]
+    rows = [(ID, replica_process.started_ms, str(version), job.chain, list(job.block_ends))]
     return lambda process: process.sharing._handle_placed(PEER, 'p:1', messages.Placed(rows))
 
 
-def load(replica_process: lives.Life, _: int) -> Event:
-    message = messages.Loads([(ID, replica_process.mark, (900, 0, 0, 0), 5)], True)
+def load(replica_process: replica_processes.ReplicaProcess, _: int) -> Event:
+    message = messages.Loads([(ID, replica_process.short_id, (900, 0, 0, 0), 5)], True)
     return lambda process: process.loads._take(PEER, 'p:1', message)
 
 
-def fail(replica_process: lives.Life, _: int) -> Event:
+def fail(replica_process: replica_processes.ReplicaProcess, _: int) -> Event:
     def happen(process: Process) -> None:
         for _ in range(5):
             process.pools.note_failure(replica_process)
@@ -167,11 +184,11 @@
     return happen
 
 
-def replaced(replica_process: lives.Life, _: int) -> Event:
+def replaced(replica_process: replica_processes.ReplicaProcess, _: int) -> Event:
     return lambda process: process.pools.mark_replaced(replica_process)
 
 
-def leave(replica_process: lives.Life, version: int) -> Event:
+def leave(replica_process: replica_processes.ReplicaProcess, version: int) -> Event:
     """The last entry of the process that ended, delivered late by a slow listing."""
     return lambda process: process.record(3, replica_process, version, 'draining')
 
@@ -212,13 +229,13 @@
         event(process)
     replica = process.pools.get(ID)
     now = clocks.now()
-    assert replica.life == NEW
+    assert replica.process == NEW
     assert int(replica.weight_version) == max([1, *(v for _, v in new)])
     assert not process.pools.cache.match(ID, make_job().chain, now).blocks
     assert not replica.peers
     assert replica.paused_until < now
     assert not process.pools.ejector.is_ejected(ID, now)
-    assert [r.life for r in process.pools.list_serving('s')] == [NEW]
+    assert [r.process for r in process.pools.list_serving('s')] == [NEW]
 
 
 @hypothesis.given(
@@ -238,7 +255,7 @@
     for make_event, replica_process in events:
         make_event(replica_process, 7 if replica_process == NEW else 2)(process)
     replica = process.pools.get(ID)
-    assert replica.life == OLD
+    assert replica.process == OLD
     assert int(replica.weight_version) in (1, 2)
 
 
@@ -248,7 +265,7 @@
     process.record(2, OLD, 7)
     report(NEW, 1)(process)
     process.record(3, OLD, 9, 'draining')
-    assert process.pools.get(ID).life == NEW
+    assert process.pools.get(ID).process == NEW
     assert process.pools.list_serving('s')
     process.record(4, NEW, 2)
     assert process.pools.get(ID).weight_version == '2'
@@ -260,7 +277,7 @@
     process.record(2, OLD, 7)
     process.put(5, 'replicas/r2', b'1000 7 ready')
     job = make_job()
-    process.sources.record_read(OLD, '7', job.chain, job.ends, 1)
+    process.sources.record_read(OLD, '7', job.chain, job.block_ends, 1)
     prompt = prompts.Prompt(MODEL, (prompts.Part('aa', 800), prompts.Part('own', 50)))
     asking = process.pools.get('r2')
     assert process.sources.choose(asking, job, prompt, 'salt').fetch == f'{ID}:1'
@@ -307,7 +324,7 @@
     fleet.engines = engines
     fleet.rollouts._engines = cast(dialect.Engines, engines)
     engines.versions[ID] = 1
-    engines.born[ID] = OLD.born
+    engines.born[ID] = OLD.started_ms
     engines.counted[ID] = 4
     known = fleet.rollouts._registry_state
     known.catalogue.put(make_entry(OLD, 1))
@@ -346,9 +363,9 @@
         await asyncio.sleep(3.0)
         task.cancel()
         assert engines.versions == {ID: 2}
-        assert fleet.pools.get(ID).life == NEW
+        assert fleet.pools.get(ID).process == NEW
         assert fleet.pools.get(ID).weight_version == '2'
-        assert (NEW.born, 0) in engines.expected
+        assert (NEW.started_ms, 0) in engines.expected
 
     virtual.run(check())
 
@@ -360,7 +377,7 @@
     change = known.catalogue.put(make_entry(NEW, 1))
     assert change is not None
     fleet.pools.apply_change(change)
-    loaded_before = messages.Loaded(ID, 9, 9, OLD.born)
+    loaded_before = messages.Loaded(ID, 9, 9, OLD.started_ms)
     fleet.rollouts._handle_loaded(PEER, 'p:1', loaded_before)
     assert fleet.pools.get(ID).weight_version == '1'
     state = fleet.pools.list_states()[0]
@@ -382,7 +399,7 @@
         engines.restart(ID)
         prober.probe(OLD, 0.0)
         await asyncio.sleep(0.1)
-        assert fleet.pools.get(ID).life == NEW
+        assert fleet.pools.get(ID).process == NEW
         assert not prober.is_silent(ID)
         assert fleet.pools.get(ID).paused_until < clocks.now()
         assert not received
@@ -454,11 +471,11 @@
         await asyncio.sleep(0.3)
         prober.note_version_mismatch(OLD, '1')
         await asyncio.sleep(0.2)
-        assert fleet.pools.get(ID).life == OLD
+        assert fleet.pools.get(ID).process == OLD
         await asyncio.sleep(1.0)
         prober.note_version_mismatch(OLD, '1')
         await asyncio.sleep(0.2)
-        assert fleet.pools.get(ID).life == NEW
+        assert fleet.pools.get(ID).process == NEW
 
     virtual.run(check())
 
--- a/passpier/tests/routing/sources_tests.py
+++ b/passpier/tests/routing/sources_tests.py
@@ -5,7 +5,15 @@
 import pytest
 
 from passpier import clocks
-from passpier.core import catalogue, choice, kept, lives, prompts, rendezvous, routes
+from passpier.core import (
+    cache_store_contents,
+    catalogue,
+    choice,
+    prompts,
+    rendezvous,
+    replica_processes,
+    routes,
+)
 from passpier.routing import pools, sources
 
 STORES = {f'10.0.{n}.1:80': f'd{n}' for n in range(3)}
@@ -37,13 +45,21 @@
 
 
 def record_read(cache_sources: sources.Sources, name: str, job: choice.Job) -> None:
-    cache_sources.record_read(lives.Life(name), '1', job.chain, job.ends, len(job.chain) - 1)
+    cache_sources.record_read(
+        replica_processes.ReplicaProcess(name), '1', job.chain, job.block_ends, len(job.chain) - 1
+    )
 
 
 def store_parts(cache_sources: sources.Sources, address: str, family: str) -> None:
     store = cache_sources.pools.stores.get(address)
     assert store is not None
-    store.apply([kept.identify('salt', 'aa'), kept.identify('salt', family)], [])
+    store.apply(
+        [
+            cache_store_contents.hash_part('salt', 'aa'),
+            cache_store_contents.hash_part('salt', family),
+        ],
+        [],
+    )
 
 
 def test_a_family_has_one_store_for_all_replicas(cache_sources: sources.Sources) -> None:
@@ -93,7 +109,7 @@
     store_parts(cache_sources, store, 'f')
     job = prompts.build_job(make_prompt('f'), None, 1)
     record_read(cache_sources, 'r5', job)
-    cache_sources.pools.learn_version(lives.Life('r5'), 2, 'report')
+    cache_sources.pools.learn_version(replica_processes.ReplicaProcess('r5'), 2, 'report')
     assert choose(cache_sources, 'r0', 'f').fetch == store
     record_read(cache_sources, 'r6', job)
     cache_sources.pools.silent.add('r6')
--- a/passpier/tests/routing/throttling_tests.py
+++ b/passpier/tests/routing/throttling_tests.py
@@ -10,13 +10,13 @@
 import pytest
 
 from passpier import clocks
-from passpier.core import backpressure, catalogue, lives, members, replicas, routes
+from passpier.core import backpressure, catalogue, members, replica_processes, replicas, routes
 from passpier.daemon import messages
 from passpier.routing import pools, throttling
 from passpier.standins import network, virtual
 from passpier.standins.platform import promises
 
-REPLICA_PROCESS = lives.Life('llm-0', 7)
+REPLICA_PROCESS = replica_processes.ReplicaProcess('llm-0', 7)
 LIMITED = backpressure.Signal(limit=1.0)
 PROCESSES = 8
 SEEDS = 2
@@ -48,14 +48,14 @@
         )
         self.pools.on_signal = self.throttling.handle_signal
 
-    def start_replica(self, replica_process: lives.Life) -> None:
+    def start_replica(self, replica_process: replica_processes.ReplicaProcess) -> None:
         entry = catalogue.Entry(
-            replica_process.id, 'app', 'a:1', 'd0', 8, False, {}, replica_process.born
+            replica_process.id, 'app', 'a:1', 'd0', 8, False, {}, replica_process.started_ms
         )
         self.pools.apply_change(catalogue.Change(replica_process.id, entry, 'seen'))
 
     def send_to_peers(self, message: messages.Limited) -> None:
-        others = self.membership.list_interested(clocks.now())
+        others = self.membership.list_load_recipients(clocks.now())
         self.link.send_all([m.peer for m in others], message)
 
     def receive(self, signal: backpressure.Signal, sent_ago: float | None = 0.0) -> None:
@@ -175,7 +175,7 @@
     async def check(fleet: Fleet) -> None:
         first = fleet.processes[0]
         first.receive(LIMITED)
-        first.start_replica(lives.Life(REPLICA_PROCESS.id, 8))
+        first.start_replica(replica_processes.ReplicaProcess(REPLICA_PROCESS.id, 8))
         assert first.rate is None
         first.receive(LIMITED)
         await asyncio.sleep(1.0)
--- a/passpier/tests/standins/fleet_tests.py
+++ b/passpier/tests/standins/fleet_tests.py
@@ -156,7 +156,7 @@
 def test_wait_estimates_that_run_out_before_the_response_are_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(replicas, 'UNANSWERED_SHARE', 0.0)
+    monkeypatch.setattr(replicas, 'MIN_PENDING_SHARE', 0.0)
     report = simulate_heavy()
     assert report.compute_late_share('long') > 1.5 * HEAVY_LATE_MAX, report.render()
 
@@ -164,7 +164,7 @@
 def test_short_wait_estimates_and_weak_homes_are_detected_at_normal_load(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(replicas, 'UNANSWERED_SHARE', 0.0)
+    monkeypatch.setattr(replicas, 'MIN_PENDING_SHARE', 0.0)
     monkeypatch.setattr(prompts, 'count_preamble', lambda prompt: 0)
     monkeypatch.setattr(choice, 'HOME_PLACES', 58)
     report = simulate_normal()
