--- a/passpier/daemon/suspects.py
+++ b/passpier/daemon/suspects.py
@@ -46,8 +46,8 @@
         """Asked before a refused request is tried once more; true if this process may try it."""
 
         self._checks: set[asyncio.Task[None]] = set()
-        link.handle(messages.Ended, self._handle_ended)
-        link.handle(messages.Trying, self._handle_trying)
+        link.register_handler(messages.Ended, self._handle_ended)
+        link.register_handler(messages.Trying, self._handle_trying)
 
     def judge(self, fingerprint: int) -> crashes.Assessment:
         """Return whether a request may be sent now, and with which precautions."""
--- a/passpier/platform/dialect.py
+++ b/passpier/platform/dialect.py
@@ -40,7 +40,7 @@
 
     def read_request(
         self, start: tornado.httputil.RequestStartLine, headers: tornado.httputil.HTTPHeaders
-    ) -> dialect.Ask:
+    ) -> dialect.ClientRequest:
         """Parse a client's request; raise `ValueError` if it is invalid."""
         id = headers.get(names.REQUEST_ID, '')
         if not id:
@@ -54,7 +54,7 @@
             and name.lower() != names.LAST_EVENT.lower()
         ]
         usage = _read_usage(headers)
-        return dialect.Ask(
+        return dialect.ClientRequest(
             id,
             start.method,
             host,
@@ -67,7 +67,9 @@
             sum(usage) if usage is not None else None,
         )
 
-    def write_request(self, ask: dialect.Ask, sending: dialect.Sending) -> exchanges.Headers:
+    def write_request(
+        self, ask: dialect.ClientRequest, sending: dialect.AttemptFields
+    ) -> exchanges.Headers:
         """Return the request headers of one attempt."""
         added = {
             names.DEADLINE: str(max(1, int(sending.time_left * 1000))),
@@ -82,7 +84,7 @@
         }
         return [*ask.headers, *((n, v) for n, v in added.items() if v)]
 
-    def judge(self, head: exchanges.Head) -> dialect.Verdict:
+    def classify_response(self, head: exchanges.Head) -> dialect.Verdict:
         """Classify an upstream's response by its status and headers."""
         if head.status == 421:
             return dialect.Verdict.WRONG_UPSTREAM
@@ -107,7 +109,7 @@
         """Return the backpressure signal of a replica's response."""
         return _read_signal(head)
 
-    def clean_answer(self, headers: exchanges.Headers) -> list[tuple[str, str]]:
+    def filter_headers(self, headers: exchanges.Headers) -> list[tuple[str, str]]:
         """Return the response headers that are forwarded to the client."""
         return [(n, v) for n, v in headers if n.lower() not in names.CONNECTION_HEADERS]
 
--- a/passpier/platform/main.py
+++ b/passpier/platform/main.py
@@ -119,7 +119,7 @@
 ) -> None:
     """Begin to drain; runs before the next iteration of the event loop."""
     if not loop.is_closed():
-        loop.call_soon_threadsafe(process.begin_stop, process.turned_at)
+        loop.call_soon_threadsafe(process.begin_stop, process.loop_checked_at)
 
 
 def _handle_sigint(process: router.Router) -> None:
--- a/passpier/routing/client_connections.py
+++ b/passpier/routing/client_connections.py
@@ -51,7 +51,7 @@
     """
 
     def __init__(self, most: int = 1000) -> None:
-        self.most = most
+        self.max_open = most
         self._open: weakref.WeakSet[tornado.iostream.IOStream] = weakref.WeakSet()
         self._idle: weakref.WeakKeyDictionary[tornado.iostream.IOStream, None] = (
             weakref.WeakKeyDictionary()
@@ -86,14 +86,14 @@
         return bool(self._idle)
 
     def _close_surplus(self) -> None:
-        if len(self._open) <= self.most:
+        if len(self._open) <= self.max_open:
             return
         for ended in [s for s in self._open if s.closed()]:
             self._open.discard(ended)
             self._idle.pop(ended, None)
         closed = 0
         for oldest in list(self._idle):
-            if len(self._open) <= self.most:
+            if len(self._open) <= self.max_open:
                 break
             if not _is_idle(oldest):
                 continue
--- a/passpier/routing/marks.py
+++ b/passpier/routing/crash_records.py
@@ -16,7 +16,7 @@
 from passpier.clients import registry
 from passpier.core import crashes, fingerprints, replica_processes
 from passpier.daemon import suspects
-from passpier.routing import knowledge
+from passpier.routing import registry_mirror
 
 log = logging.getLogger(__name__)
 
@@ -43,17 +43,17 @@
     """The stored record of one crash."""
 
     replica: str
-    born: int
+    started_ms: int
     suspects: list[int]
 
 
-class Marks:
+class CrashRecords:
     """Reads and writes the records."""
 
     def __init__(
         self,
         source: registry.Registry,
-        registry_state: knowledge.Knowledge,
+        registry_state: registry_mirror.RegistryState,
         suspect_tracker: suspects.Suspects,
         name: str,
     ) -> None:
@@ -153,5 +153,5 @@
             log.error('invalid crash record ignored', extra={'key': key, 'error': str(error)})
             return
         # The record has no age, since clocks differ; the crash counts as having happened now.
-        crash = crashes.Crash(record.replica, record.born, 0.0, record.suspects)
+        crash = crashes.Crash(record.replica, record.started_ms, 0.0, record.suspects)
         self._suspects.take_ends([crash], 'registry')
--- a/passpier/routing/delivering.py
+++ b/passpier/routing/delivering.py
@@ -41,7 +41,7 @@
     async def send_response(self, response: exchanges.Answer) -> None:
         """Send an upstream's complete response."""
         self.final = True
-        headers = self._wire.clean_answer(response.head.headers)
+        headers = self._wire.filter_headers(response.head.headers)
         await self._send(
             responses.write_response(self._client, response.head, headers, response.body)
         )
@@ -61,7 +61,7 @@
 
     async def _begin_stream(self, head: exchanges.Head) -> None:
         if not self._client.started:
-            headers = self._wire.clean_answer(head.headers)
+            headers = self._wire.filter_headers(head.headers)
             await self._client.begin(head.status, head.reason, headers, None)
 
     async def _send(self, sending: Awaitable[None]) -> None:
--- a/passpier/routing/dialect.py
+++ b/passpier/routing/dialect.py
@@ -13,7 +13,7 @@
 from passpier.core import backpressure, buckets, catalogue, prompts, routes
 
 
-class Ask(msgspec.Struct, frozen=True):
+class ClientRequest(msgspec.Struct, frozen=True):
     """A client's request as far as the router parses it; times are in seconds."""
 
     id: str
@@ -21,7 +21,7 @@
     host: str
     target: str
     key: str | None
-    patience: float | None
+    timeout: float | None
     """How long the client will wait, if it says so."""
 
     prompt: prompts.Prompt | None
@@ -38,7 +38,7 @@
         return self.target.partition('?')[0]
 
 
-class Sending(msgspec.Struct, frozen=True):
+class AttemptFields(msgspec.Struct, frozen=True):
     """What the router adds to one attempt; `time_left` is in seconds."""
 
     incarnation: str
@@ -78,13 +78,15 @@
 
     def read_request(
         self, start: tornado.httputil.RequestStartLine, headers: tornado.httputil.HTTPHeaders
-    ) -> Ask:
+    ) -> ClientRequest:
         """Return a client's request; raises `ValueError` with the reason if it is invalid."""
 
-    def write_request(self, client_request: Ask, added: Sending) -> exchanges.Headers:
+    def write_request(
+        self, client_request: ClientRequest, added: AttemptFields
+    ) -> exchanges.Headers:
         """Return the headers of one attempt."""
 
-    def judge(self, head: exchanges.Head) -> Verdict:
+    def classify_response(self, head: exchanges.Head) -> Verdict:
         """Classify the head of a response."""
 
     def read_version(self, head: exchanges.Head) -> str:
@@ -96,7 +98,7 @@
     def read_signal(self, head: exchanges.Head) -> backpressure.Signal:
         """Return the backpressure signal in a response."""
 
-    def clean_answer(self, headers: exchanges.Headers) -> list[tuple[str, str]]:
+    def filter_headers(self, headers: exchanges.Headers) -> list[tuple[str, str]]:
         """Return the headers of a response that are forwarded to the client."""
 
 
@@ -104,12 +106,12 @@
     """A replica's own report on its state; `orders` is the number its process has accepted."""
 
     versions: Mapping[str, int]
-    ordered: bool
+    order_pending: bool
     """Whether an order is still being carried out."""
-    orders: int
+    accepted_orders: int
     running: int
     waiting: int
-    born: int | None = None
+    started_ms: int | None = None
     """When its process started, in Unix milliseconds; none if it doesn't say."""
 
     signal: backpressure.Signal = backpressure.NO_SIGNAL
--- a/passpier/routing/forwarding.py
+++ b/passpier/routing/forwarding.py
@@ -25,14 +25,14 @@
 from passpier.routing import (
     delivering,
     dialect,
-    knowledge,
+    placement_sharing,
     pools,
     probing,
     rate_limiting,
+    registry_mirror,
     requests,
     response_reader,
     responses,
-    sharing,
 )
 
 log = logging.getLogger(__name__)
@@ -68,14 +68,14 @@
 
     def __init__(
         self,
-        registry_state: knowledge.Knowledge,
+        registry_state: registry_mirror.RegistryState,
         request_dispatcher: dispatcher.Dispatcher,
         pool: connections.Pool,
         wire: dialect.Dialect,
         counters: metrics.Metrics,
         options: dialect.Options,
         prober: probing.Prober,
-        shared: sharing.Sharing,
+        shared: placement_sharing.PlacementSharing,
         suspect_tracker: suspects.Suspects,
         limiter: rate_limiting.RateLimiter,
     ) -> None:
@@ -90,7 +90,7 @@
         self.wire = wire
         self.counters = counters
         self.options = options
-        self.daemons = 1
+        self.budget_sharers = 1
         """Processes that share the retry budget; never decreases."""
 
         self._budgets: dict[str, retries.SharedBudget] = collections.defaultdict(self._build_budget)
@@ -360,7 +360,7 @@
             )
         replicas.note_first_token(placement.replica, placement.attempt, now)
         if self._call.job.chain:
-            self._owner.sharing.note_placed(placement.replica, self._call.job)
+            self._owner.sharing.record_placement(placement.replica, self._call.job)
         if self._admitted.route.kind.is_stream:
             await self._relay_events(reader, head)
         else:
@@ -380,13 +380,13 @@
         self, head: exchanges.Head, placement: dispatcher.Placement
     ) -> dialect.Verdict:
         """Classify the head of a response and apply what it reports; raise if it is no result."""
-        verdict = self._owner.wire.judge(head)
+        verdict = self._owner.wire.classify_response(head)
         upstreams = self._owner.pools
         process = placement.replica.process
         self._learn_signal(head, placement, verdict)
         version = self._owner.wire.read_version(head)
         if version.isdigit():
-            upstreams.learn_version(process, int(version), 'answer')
+            upstreams.update_version(process, int(version), 'answer')
         if verdict is dialect.Verdict.NOT_RUN:
             upstreams.pause(process, pauses.Pause.FULL, pools.PAUSE_FULL, f'status {head.status}')
             raise response_reader.AttemptError(
@@ -421,7 +421,7 @@
                 return
         signal = self._owner.wire.read_signal(head)
         ran_since = self._sent_at if verdict is dialect.Verdict.SUCCESS else None
-        self._owner.pools.learn_signal(process, signal, ran_since)
+        self._owner.pools.apply_signal(process, signal, ran_since)
 
     async def _relay_events(
         self, reader: response_reader.ResponseReader, head: exchanges.Head
@@ -467,7 +467,7 @@
         budget = self._owner.get_budget(self._service)
         return (
             progress.attempts < progress.max_attempts
-            and budget.has_any(clocks.now(), self._owner.daemons)
+            and budget.has_any(clocks.now(), self._owner.budget_sharers)
             and self._owner.dispatcher.has_place(self._call, {*self._excluded, self.upstream})
         )
 
@@ -549,7 +549,7 @@
 
     def _spend_retry(self, now: float) -> bool:
         budget = self._owner.get_budget(self._service)
-        return budget.spend(now, self._owner.daemons)
+        return budget.spend(now, self._owner.budget_sharers)
 
     async def _respond_failure(self, error: response_reader.AttemptError) -> None:
         """Send the final response of a request whose attempts have all failed."""
--- a/passpier/routing/ingress.py
+++ b/passpier/routing/ingress.py
@@ -14,7 +14,14 @@
 from passpier import clocks
 from passpier.core import rates
 from passpier.daemon import metrics
-from passpier.routing import client_connections, dialect, forwarding, knowledge, requests, responses
+from passpier.routing import (
+    client_connections,
+    dialect,
+    forwarding,
+    registry_mirror,
+    requests,
+    responses,
+)
 
 log = logging.getLogger(__name__)
 
@@ -112,7 +119,7 @@
 
     def __init__(
         self,
-        registry_state: knowledge.Knowledge,
+        registry_state: registry_mirror.RegistryState,
         forwarder: forwarding.Forwarder,
         wire: dialect.Dialect,
         counters: metrics.Metrics,
@@ -179,7 +186,7 @@
         self._owner = owner
         self._connection = connection
         self._client = HttpClient(connection, lambda: owner.stopping)
-        self._client_request: dialect.Ask | None = None
+        self._client_request: dialect.ClientRequest | None = None
         self._refusal: responses.Refusal | None = None
         self._body = bytearray()
         self._arrived_at = 0.0
--- a/passpier/routing/sharing.py
+++ b/passpier/routing/placement_sharing.py
@@ -21,11 +21,11 @@
 the prompts of all others."""
 
 
-class Sharing:
+class PlacementSharing:
     """Exchanges placements of prompts with other processes."""
 
     def __init__(
-        self, cache_sources: sources.Sources, membership: members.Membership, link: peers.Peers
+        self, cache_sources: sources.CacheSources, membership: members.Membership, link: peers.Peers
     ) -> None:
         self.sources = cache_sources
         self._membership = membership
@@ -34,7 +34,7 @@
         self._wake = asyncio.Event()
         link.handle(messages.Placed, self._handle_placed)
 
-    def note_placed(self, replica: replicas.Replica, job: choice.Job) -> None:
+    def record_placement(self, replica: replicas.Replica, job: choice.Job) -> None:
         """Record that a replica has begun to respond to a prompt."""
         version = replica.weight_version
         self.sources.record_read(
--- a/passpier/routing/pools.py
+++ b/passpier/routing/pools.py
@@ -68,10 +68,10 @@
         self.cache = cache_view.CacheView(view_blocks)
         self.ejector = ejection.Ejector()
         self.stores = cache_store_contents.CacheStores()
-        self.silent: set[str] = set()
+        self.unresponsive: set[str] = set()
         """Replicas that don't respond to this process."""
 
-        self.namings: dict[str, weight_releases.ReleaseHistory] = {}
+        self.releases: dict[str, weight_releases.ReleaseHistory] = {}
         """By model, the released weight versions and since when older ones are outdated."""
 
         self._pauses: dict[str, pauses.Pauses] = {}
@@ -147,13 +147,13 @@
 
         `not_before` is the latest time at which it was certainly not released yet.
         """
-        release_history = self.namings.setdefault(model, weight_releases.ReleaseHistory())
+        release_history = self.releases.setdefault(model, weight_releases.ReleaseHistory())
         release_history.forget(now - self.version_bound)
         return release_history.note(version, not_before, now)
 
     def merge_releases(self, model: str, received: Sequence[weight_releases.Release]) -> None:
         """Merge the lower bounds of release times that a peer knows."""
-        release_history = self.namings.get(model)
+        release_history = self.releases.get(model)
         if release_history is None or release_history.merge(received) < CORRECTION_LOGGED_MIN:
             return
         now = clocks.now()
@@ -164,7 +164,7 @@
 
     def list_released_versions(self) -> list[rollout.Wanted]:
         """Return the newest released weight version of each model."""
-        return [rollout.Wanted(model, n.newest) for model, n in self.namings.items()]
+        return [rollout.Wanted(model, n.newest) for model, n in self.releases.items()]
 
     def find(self, process: replica_processes.ReplicaProcess) -> replicas.Replica | None:
         """Return a replica if its current process is the given one."""
@@ -183,7 +183,7 @@
             return not self.has_restarted(process)
         return replica.leaving
 
-    def learn_version(
+    def update_version(
         self, process: replica_processes.ReplicaProcess, version: int, source: str
     ) -> None:
         """Update a replica's weight version; older versions are ignored as outdated news."""
@@ -207,7 +207,7 @@
         if age > REPORT_LAG and version < int(replica.weight_version or 0):
             self._set_version(replica, version, 'report of older weights')
         else:
-            self.learn_version(process, version, 'report')
+            self.update_version(process, version, 'report')
 
     def _set_version(self, replica: replicas.Replica, version: int, source: str) -> None:
         process = replica.process
@@ -237,7 +237,7 @@
             }
             log.info('upstream process replaced', extra=fields)
 
-    def learn_signal(
+    def apply_signal(
         self,
         process: replica_processes.ReplicaProcess,
         signal: backpressure.Signal,
@@ -352,7 +352,7 @@
         fields: dict[str, object] = {'born': replica.started_ms}
         if replica.signal.limit is not None:
             fields['limit'] = replica.signal.limit
-        release_history = self.namings.get(self._models.get(name, ''))
+        release_history = self.releases.get(self._models.get(name, ''))
         if release_history is None:
             return fields
         version = int(replica.weight_version or 0)
@@ -385,7 +385,7 @@
             rollout.State(
                 r.name,
                 {self._models[r.name]: int(r.weight_version)},
-                r.leaving or r.name in self.silent,
+                r.leaving or r.name in self.unresponsive,
                 r.started_ms,
             )
             for r in self.replicas.values()
@@ -413,7 +413,7 @@
         if not version:
             # The responses of an engine with unknown weights can't be attributed to any version.
             return not self._models.get(replica.name)
-        release_history = self.namings.get(self._models.get(replica.name, ''))
+        release_history = self.releases.get(self._models.get(replica.name, ''))
         if release_history is None or version >= release_history.newest:
             return True
         # The request begins once the engine has prefilled those queued before it.
@@ -429,7 +429,7 @@
         return new if ready >= max(1.0, len(usable) * NEW_WEIGHTS_SHARE) else usable
 
     def _is_outdated(self, replica: replicas.Replica, now: float) -> bool:
-        release_history = self.namings.get(self._models.get(replica.name, ''))
+        release_history = self.releases.get(self._models.get(replica.name, ''))
         version = int(replica.weight_version or 0)
         if not version or release_history is None:
             return False
@@ -457,7 +457,7 @@
         self._pools[entry.service].remove(name)
         del self._pauses[name]
         self._models.pop(name, None)
-        self.silent.discard(name)
+        self.unresponsive.discard(name)
         self.cache.forget(name)
         self.ejector.note_success(name)
 
@@ -474,7 +474,7 @@
         capacity = engine.cache_tokens if engine else 0
         key = identify_cache(replica.process, replica.weight_version)
         self.cache.set_incarnation(entry.id, key, capacity)
-        self.learn_version(replica.process, entry.versions.get(model, 0), 'registry')
+        self.update_version(replica.process, entry.versions.get(model, 0), 'registry')
 
     def list_siblings(self, name: str) -> list[str]:
         """Return all replicas of a replica's service, or just itself if it is gone."""
--- a/passpier/routing/probing.py
+++ b/passpier/routing/probing.py
@@ -19,7 +19,7 @@
 from passpier.clients import exchanges
 from passpier.core import pauses, replica_processes
 from passpier.daemon import messages
-from passpier.routing import dialect, knowledge
+from passpier.routing import dialect, registry_mirror
 
 log = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        registry_state: knowledge.Knowledge,
+        registry_state: registry_mirror.RegistryState,
         engines: dialect.Engines,
         notify_peers: Callable[[messages.Silent], None],
     ) -> None:
@@ -65,9 +65,9 @@
         if self._pools.find(process) is not None:
             self._last_contacts[process.id] = (process, clocks.now())
 
-    def is_silent(self, name: str) -> bool:
+    def is_unresponsive(self, name: str) -> bool:
         """Return whether a replica is unresponsive."""
-        return name in self._pools.silent
+        return name in self._pools.unresponsive
 
     def has_restarted(self, process: replica_processes.ReplicaProcess) -> bool:
         """Return whether a replica process has ended and another one has replaced it."""
@@ -131,7 +131,7 @@
             except exchanges.ExchangeError as error:
                 if error.fault is exchanges.Fault.REPLACED:
                     self._pools.mark_replaced(process)
-                    self._pools.silent.discard(process.id)
+                    self._pools.unresponsive.discard(process.id)
                     return
                 detail = str(error)
             else:
@@ -139,7 +139,7 @@
                     self._set_ended(process, False)
                     self._mark_responsive(process)
                     return
-                detail = f'answered by the process born at {report.born}'
+                detail = f'answered by the process born at {report.started_ms}'
             unanswered += 1
             if unanswered == UNANSWERED_MAX:
                 self._set_ended(process, True)
@@ -152,7 +152,7 @@
     def _mark_unresponsive(self, process: replica_processes.ReplicaProcess, error: str) -> None:
         if self._pools.find(process) is None:
             return
-        self._pools.silent.add(process.id)
+        self._pools.unresponsive.add(process.id)
         self._notify_peers(messages.Silent(process.id, process.started_ms))
         contacted_at = self._get_last_contact(process)
         age = round(clocks.now() - contacted_at, 3) if math.isfinite(contacted_at) else None
@@ -170,8 +170,8 @@
         if self._pools.find(process) is None:
             return
         self.record_contact(process)
-        if process.id in self._pools.silent:
-            self._pools.silent.discard(process.id)
+        if process.id in self._pools.unresponsive:
+            self._pools.unresponsive.discard(process.id)
             self._pools.resume(process, pauses.Pause.SILENT)
             log.info(
                 'upstream responding again',
--- a/passpier/routing/rate_limiting.py
+++ b/passpier/routing/rate_limiting.py
@@ -9,7 +9,7 @@
 from passpier import clocks
 from passpier.core import buckets, entries, members, retry_schedule, routes
 from passpier.daemon import messages, peers
-from passpier.routing import knowledge
+from passpier.routing import registry_mirror
 
 log = logging.getLogger(__name__)
 
@@ -45,13 +45,13 @@
 
     def __init__(
         self,
-        registry_state: knowledge.Knowledge,
+        registry_state: registry_mirror.RegistryState,
         membership: members.Membership,
         link: peers.Peers,
         tolerance: buckets.Tolerance,
         rng: random.Random,
     ) -> None:
-        self.book = buckets.SharedBuckets(tolerance, INTERVAL, clocks.now())
+        self.buckets = buckets.SharedBuckets(tolerance, INTERVAL, clocks.now())
         self._registry_state = registry_state
         self._membership = membership
         self._peers = link
@@ -78,10 +78,12 @@
     async def run(self) -> None:
         """Send messages to the other processes until cancelled."""
         while True:
-            await asyncio.sleep(self.book.interval if self.book.has_rates else SHARERS_INTERVAL)
+            await asyncio.sleep(
+                self.buckets.interval if self.buckets.has_rates else SHARERS_INTERVAL
+            )
             now = clocks.now()
             self.sync(now)
-            if self._must_report(now) and now - self.book.changed_at < QUIET_SECONDS:
+            if self._must_report(now) and now - self.buckets.changed_at < QUIET_SECONDS:
                 self._send_to_sharers(now)
 
     def sync(self, now: float) -> None:
@@ -89,8 +91,8 @@
         table = self._registry_state.table
         if table is not None and table is not self._table:
             self._table = table
-            self.book.configure(table.rates, now)
-        if not self.book.has_rates:
+            self.buckets.configure(table.rates, now)
+        if not self.buckets.has_rates:
             return
         # After a start the other processes are discovered one by one.
         interval = SHARERS_INTERVAL if self._addresses else INTERVAL
@@ -107,8 +109,8 @@
         now = clocks.now()
         self.sync(now)
         self._spent_at = now
-        wait = self.book.take(account, cost, now)
-        if wait and self.book.compute_share(now) < 1.0:
+        wait = self.buckets.take(account, cost, now)
+        if wait and self.buckets.compute_share(now) < 1.0:
             wait = await self._contact_sharers(account, cost)
             now = clocks.now()
         if not wait:
@@ -121,8 +123,8 @@
                 'request': request,
                 'account': account,
                 'cost': cost,
-                'left': round(self.book.get_level(account, now)),
-                'share': round(self.book.compute_share(now), 3),
+                'left': round(self.buckets.get_level(account, now)),
+                'share': round(self.buckets.compute_share(now), 3),
                 'sharers': len(self._addresses),
                 'retry_after': round(retry_after, 3),
             },
@@ -134,7 +136,7 @@
     ) -> float:
         """Return the retry delay of a refused client, queued behind those refused before it."""
         # Each process refuses clients of its own, which all retry.
-        pace = self.book.get_rate(account).per_second / (len(self._addresses) + 1)
+        pace = self.buckets.get_rate(account).per_second / (len(self._addresses) + 1)
         return self._turns.schedule(
             account, cost, pace, wait, time_left / (1.0 + RETRY_SPREAD), now
         )
@@ -154,9 +156,9 @@
             except TimeoutError:
                 break
             now = clocks.now()
-            if not self.book.take(account, cost, now):
+            if not self.buckets.take(account, cost, now):
                 return 0.0
-        return self.book.take(account, cost, clocks.now())
+        return self.buckets.take(account, cost, clocks.now())
 
     def _set_sharers(self, now: float) -> None:
         """Determine who shares the rates: processes that serve requests or are named to clients."""
@@ -168,16 +170,16 @@
         serves = membership.get_rate(own) > 0 and not membership.is_standby(now)
         self._is_sharer = serves or own in sharers
         sharers.pop(own, None)
-        self.book.set_sharers(sharers, now)
-        self.book.interval = INTERVAL * max(1.0, len(sharers) / PEERS_AT_BASE_INTERVAL)
+        self.buckets.set_sharers(sharers, now)
+        self.buckets.interval = INTERVAL * max(1.0, len(sharers) / PEERS_AT_BASE_INTERVAL)
         self._addresses = sharers
-        self.book.forget(m.incarnation for m in known)
+        self.buckets.forget(m.incarnation for m in known)
         self._sent_at = {n: at for n, at in self._sent_at.items() if now - at < QUIET_SECONDS}
 
     def _must_report(self, now: float) -> bool:
         """Return whether others must know this process: it may spend, or has done so lately."""
         spent = now - self._spent_at < QUIET_SECONDS
-        return self.book.has_rates and (self._is_sharer or spent)
+        return self.buckets.has_rates and (self._is_sharer or spent)
 
     def _send_to_sharers(self, now: float) -> None:
         for name, address in self._addresses.items():
@@ -185,21 +187,21 @@
 
     def _send(self, name: str, address: str, now: float) -> None:
         self._sent_at[name] = now
-        number, confirmed, knows, rows = self.book.build_update(name, now)
+        number, confirmed, knows, rows = self.buckets.build_update(name, now)
         usage_rows = [(row.account, row.spent, row.remaining) for row in rows]
         self._peers.send(address, messages.Spent(number, confirmed, knows, usage_rows))
 
     def _handle_usage(self, sender: str, address: str, message: messages.Spent) -> None:
         now = clocks.now()
         self.sync(now)
-        was_in_touch = self.book.is_connected(sender, now)
+        was_in_touch = self.buckets.is_connected(sender, now)
         rows = [buckets.UsageRow(*row) for row in message.rows]
         number, confirmed = message.number, message.confirmed
-        self.book.apply_update(sender, number, confirmed, message.knows, rows, now)
+        self.buckets.apply_update(sender, number, confirmed, message.knows, rows, now)
         if not was_in_touch:
             self._connected.set()
         # A peer that is not sent messages regularly may be waiting for one with a request at hand.
-        late = now - self._sent_at.get(sender, float('-inf')) >= self.book.interval
+        late = now - self._sent_at.get(sender, float('-inf')) >= self.buckets.interval
         is_updated = sender in self._addresses and was_in_touch
         if late and not is_updated and self._must_report(now):
             self._send(sender, address, now)
@@ -238,5 +240,5 @@
     def refund(self) -> None:
         """Refund the charge of an attempt that did not run."""
         if self._charged and self._account is not None:
-            self._limiter.book.refund(self._account.name, self._charged, clocks.now())
+            self._limiter.buckets.refund(self._account.name, self._charged, clocks.now())
             self._charged = 0
--- a/passpier/routing/registry_follower.py
+++ b/passpier/routing/registry_follower.py
@@ -9,7 +9,7 @@
 from passpier import clocks, exceptions
 from passpier.clients import registry
 from passpier.core import retries
-from passpier.routing import knowledge, relaying
+from passpier.routing import registry_mirror, relaying
 
 log = logging.getLogger(__name__)
 
@@ -39,7 +39,7 @@
     def __init__(
         self,
         source: registry.Registry,
-        registry_state: knowledge.Knowledge,
+        registry_state: registry_mirror.RegistryState,
         relay: relaying.Relay,
         rng: random.Random,
     ) -> None:
@@ -84,7 +84,7 @@
         wait = self._registry_state.freshness.choose_wait(clocks.now(), self._rng.random())
         changes = await self._source.watch(ALL_KEYS, self._registry_state.revision, wait)
         now = clocks.now()
-        self._registry_state.take_changes(changes, wait, now)
+        self._registry_state.apply_watch(changes, wait, now)
         self._registry_state.expire(now)
         self._note_answer()
         if changes.items:
--- a/passpier/routing/knowledge.py
+++ b/passpier/routing/registry_mirror.py
@@ -26,7 +26,7 @@
     """Replicas whose vanished entries may come back, with the seconds left for that."""
 
 
-class Knowledge:
+class RegistryState:
     """Configuration, replicas and released weights; none of them ever reverts to an older state."""
 
     def __init__(
@@ -63,7 +63,7 @@
         self._apply_all(listing.items, listing.revision, now)
         self.freshness.prove(listing.sent_at)
 
-    def take_changes(self, changes: registry.Changes, wait: float, now: float) -> None:
+    def apply_watch(self, changes: registry.Changes, wait: float, now: float) -> None:
         """Apply the result of a watch."""
         self._apply_changed(changes.items, changes.revision, now)
         self.freshness.prove_by_watch(changes.sent_at, wait, changes.answered_at, not changes.items)
@@ -87,11 +87,11 @@
         earlier start is an outdated report, or the replica's clock has jumped back, which its entry
         will tell.
         """
-        if report.born is None or report.born == process.started_ms:
+        if report.started_ms is None or report.started_ms == process.started_ms:
             self.pools.apply_report(process, report.versions)
-            self.pools.learn_signal(process, report.signal)
+            self.pools.apply_signal(process, report.signal)
             return True
-        other = replica_processes.ReplicaProcess(process.id, report.born)
+        other = replica_processes.ReplicaProcess(process.id, report.started_ms)
         change = self.catalogue.note_restart(other, report.versions)
         if change is not None:
             self.pools.apply_change(change)
--- a/passpier/routing/relaying.py
+++ b/passpier/routing/relaying.py
@@ -19,7 +19,7 @@
 from passpier.clients import registry
 from passpier.core import members, readers, weight_releases
 from passpier.daemon import messages, peers
-from passpier.routing import history, knowledge
+from passpier.routing import history, registry_mirror
 
 log = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        registry_state: knowledge.Knowledge,
+        registry_state: registry_mirror.RegistryState,
         membership: members.Membership,
         link: peers.Peers,
         rng: random.Random,
@@ -123,7 +123,7 @@
     ) -> None:
         now = clocks.now()
         state = self._registry_state
-        weights = [export_releases(m, n, now) for m, n in state.pools.namings.items()]
+        weights = [export_releases(m, n, now) for m, n in state.pools.releases.items()]
         changes = history.ChangeSet((), False)
         # A process that knows nothing yet reads the registry itself, unless that has failed.
         if state.revision > message.revision and (message.revision or message.wants_all):
@@ -146,7 +146,7 @@
         state = self._registry_state
         if message.items or message.whole:
             changes = history.ChangeSet(decode_items(message.items), message.whole)
-            peer_changes = knowledge.PeerChanges(
+            peer_changes = registry_mirror.PeerChanges(
                 changes, message.since, message.known_revision, message.awaited
             )
             if not state.apply_peer_changes(peer_changes, now):
--- a/passpier/routing/requests.py
+++ b/passpier/routing/requests.py
@@ -20,7 +20,7 @@
 class Admitted(msgspec.Struct, frozen=True, dict=True):
     """A request with the route and the account that apply to it."""
 
-    client_request: dialect.Ask
+    client_request: dialect.ClientRequest
     route: routes.Route
     account: routes.Account | None
     body: bytes
@@ -46,8 +46,8 @@
     def ends_at(self) -> float:
         """When the client stops waiting, or the operator's timeout is reached."""
         timeout = self.route.timeout
-        if self.client_request.patience is not None:
-            timeout = min(timeout, self.client_request.patience)
+        if self.client_request.timeout is not None:
+            timeout = min(timeout, self.client_request.timeout)
         return self.arrived_at + timeout
 
 
@@ -92,21 +92,21 @@
     replica: replicas.Replica,
     time_left: float,
     last_event: str,
-    cache_sources: sources.Sources,
+    cache_sources: sources.CacheSources,
     wire: dialect.Dialect,
     may_send: Callable[[], bool],
 ) -> exchanges.Request:
     """Return one attempt as it is sent to an upstream; `time_left` is in seconds."""
     client_request = admitted.client_request
     salt = ''
-    source = sources.Source()
+    source = sources.CacheSource()
     if client_request.prompt is not None:
         # The salt depends on the replica's weights, and the request asks for just these.
         salt = prompts.render_salt(
             admitted.account, client_request.prompt.model, replica.weight_version
         )
         source = cache_sources.choose(replica, job, client_request.prompt, salt)
-    added = dialect.Sending(
+    added = dialect.AttemptFields(
         replica.incarnation,
         replica.weight_version,
         admitted.account.name if admitted.account else '',
--- a/passpier/routing/response_reader.py
+++ b/passpier/routing/response_reader.py
@@ -110,7 +110,7 @@
                 if self._prober.has_restarted(self._process):
                     text = 'the replica has started again'
                     raise AttemptError(fault, text, broken_off=True) from error
-                if self._prober.is_silent(self._process.id):
+                if self._prober.is_unresponsive(self._process.id):
                     raise AttemptError(fault, 'the replica gives no sign of life') from error
                 if not self._exchange.is_silent:
                     self._prober.probe(self._process)
--- a/passpier/routing/rollouts.py
+++ b/passpier/routing/rollouts.py
@@ -13,7 +13,7 @@
 from passpier.clients import exchanges, registry
 from passpier.core import order_lease, pauses, replicas, rollout
 from passpier.daemon import messages, peers
-from passpier.routing import dialect, knowledge, pools, registry_follower, roster
+from passpier.routing import dialect, pools, registry_follower, registry_mirror, roster
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
     def __init__(
         self,
         source: registry.Registry,
-        registry_state: knowledge.Knowledge,
+        registry_state: registry_mirror.RegistryState,
         follower: registry_follower.RegistryFollower,
         router_roster: roster.Roster,
         engines: dialect.Engines,
@@ -225,7 +225,7 @@
             loaded = messages.Loaded(order.replica, order.version, version, order.started_ms)
             self._roster.notify_serving(loaded)
             if version:
-                self._pools.learn_version(order.process, version, 'report')
+                self._pools.update_version(order.process, version, 'report')
             self._pools.resume(order.process, pauses.Pause.LOADING, order.version)
             self._wake.set()
 
@@ -251,7 +251,7 @@
             order.version,
             self._name,
             self.holder.token,
-            report.orders,
+            report.accepted_orders,
         )
         result = await self._send_order(replica, wire)
         log.info(
@@ -301,7 +301,7 @@
             if not self._registry_state.apply_report(order.process, report):
                 return 0
             version = report.versions.get(order.model, 0)
-            if version >= order.version and not report.ordered:
+            if version >= order.version and not report.order_pending:
                 return version
             await asyncio.sleep(LOAD_POLL)
         log.warning(
@@ -319,5 +319,5 @@
 
     def _handle_loaded(self, sender: str, address: str, message: messages.Loaded) -> None:
         if message.weight_version:
-            self._pools.learn_version(message.life, message.weight_version, 'peer')
+            self._pools.update_version(message.life, message.weight_version, 'peer')
         self._pools.resume(message.life, pauses.Pause.LOADING, message.ordered)
--- a/passpier/routing/roster.py
+++ b/passpier/routing/roster.py
@@ -16,7 +16,7 @@
 from passpier.clients import registry
 from passpier.core import entries, members, rates
 from passpier.daemon import messages, peers
-from passpier.routing import dialect, knowledge
+from passpier.routing import dialect, registry_mirror
 
 log = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
     def __init__(
         self,
         own: members.Member,
-        registry_state: knowledge.Knowledge,
+        registry_state: registry_mirror.RegistryState,
         link: peers.Peers,
         meter: rates.Meter,
         rng: random.Random,
--- a/passpier/routing/router.py
+++ b/passpier/routing/router.py
@@ -27,19 +27,19 @@
 )
 from passpier.routing import (
     cache_store_follower,
+    crash_records,
     dialect,
     forwarding,
     ingress,
-    knowledge,
-    marks,
+    placement_sharing,
     pools,
     probing,
     rate_limiting,
     registry_follower,
+    registry_mirror,
     relaying,
     rollouts,
     roster,
-    sharing,
     sources,
     throttling,
 )
@@ -117,9 +117,13 @@
         self.adapter = adapter
         self.counters = metrics.Metrics()
         self.pools = pools.Pools(options.version_bound)
-        self.known = knowledge.Knowledge(adapter.records, self.pools, options.key_bound)
+        self.registry_state = registry_mirror.RegistryState(
+            adapter.records, self.pools, options.key_bound
+        )
         self.pools.on_process_ended = lambda replica: adapter.pool.close_resting(replica.address)
-        self.known.on_refused = lambda kind: self.counters.refused_records.inc({'kind': kind})
+        self.registry_state.on_refused = lambda kind: self.counters.refused_records.inc(
+            {'kind': kind}
+        )
         incarnation = uuid_utils.uuid7().hex
         self.peers = peers.Peers(incarnation, options.ip, options.peer_port, self.counters)
         own = members.Member(
@@ -132,14 +136,14 @@
             options.capacity,
         )
         self.meter = rates.Meter(clocks.now())
-        self.roster = roster.Roster(own, self.known, self.peers, self.meter, rng)
-        self.relay = relaying.Relay(self.known, self.roster.membership, self.peers, rng)
+        self.roster = roster.Roster(own, self.registry_state, self.peers, self.meter, rng)
+        self.relay = relaying.Relay(self.registry_state, self.roster.membership, self.peers, rng)
         self.registry_follower = registry_follower.RegistryFollower(
-            adapter.source, self.known, self.relay, rng
+            adapter.source, self.registry_state, self.relay, rng
         )
         self.rollouts = rollouts.Rollouts(
             adapter.source,
-            self.known,
+            self.registry_state,
             self.registry_follower,
             self.roster,
             adapter.engines,
@@ -155,18 +159,22 @@
             lambda: bool(self.rollouts.holder.token),
         )
         self.loads = loads.Loads(self.roster.membership, self.pools, self.peers, LOADS_INTERVAL)
-        self.sharing = sharing.Sharing(
-            sources.Sources(self.pools), self.roster.membership, self.peers
+        self.sharing = placement_sharing.PlacementSharing(
+            sources.CacheSources(self.pools), self.roster.membership, self.peers
+        )
+        self.prober = probing.Prober(
+            self.registry_state, adapter.engines, self.roster.notify_serving
         )
-        self.prober = probing.Prober(self.known, adapter.engines, self.roster.notify_serving)
         self.peers.handle(messages.Silent, self._handle_unresponsive)
         membership = self.roster.membership
         self.suspects = suspects.Suspects(
             membership, self.peers, self.prober.has_ended, lambda: membership.choose_targets(rng)
         )
-        self.marks = marks.Marks(adapter.source, self.known, self.suspects, incarnation)
+        self.crash_records = crash_records.CrashRecords(
+            adapter.source, self.registry_state, self.suspects, incarnation
+        )
         self.limiter = rate_limiting.RateLimiter(
-            self.known, membership, self.peers, options.rate_tolerance, rng
+            self.registry_state, membership, self.peers, options.rate_tolerance, rng
         )
         self.throttling = throttling.Throttling(
             self.pools, membership, self.peers, self.roster.notify_serving, rng
@@ -177,7 +185,7 @@
         # Routing decisions can't be queried from this process, they are only logged.
         request_dispatcher = dispatcher.Dispatcher(self.pools, self.counters, rng, decisions_kept=0)
         self.forwarder = forwarding.Forwarder(
-            self.known,
+            self.registry_state,
             request_dispatcher,
             adapter.pool,
             adapter.wire,
@@ -189,12 +197,12 @@
             self.limiter,
         )
         self.ingress = ingress.Ingress(
-            self.known, self.forwarder, adapter.wire, self.counters, self.meter
+            self.registry_state, self.forwarder, adapter.wire, self.counters, self.meter
         )
         self._drain = drain.Drain(*_read_stop_times(options))
-        self.forwarder.daemons = DAEMONS_AT_START
+        self.forwarder.budget_sharers = DAEMONS_AT_START
         self._started_at = clocks.now()
-        self.turned_at = self._started_at
+        self.loop_checked_at = self._started_at
         """When the event loop was last known to run. A signal that is handled now arrived after
         that; how long after is unknown, since the VM may not have scheduled the process
         meanwhile."""
@@ -202,7 +210,7 @@
         self._stopping = asyncio.Event()
         self.ingress.accepts_requests = self._accepts_requests
         files, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        self.ingress.clients.most = int(files * CLIENT_FILES_SHARE)
+        self.ingress.clients.max_open = int(files * CLIENT_FILES_SHARE)
         self._client_server = self.ingress.build_server()
 
     async def run(self) -> None:
@@ -225,7 +233,7 @@
             tasks.start(self.sharing.run()),
             tasks.start(self.loads.run()),
             tasks.start(self.suspects.run()),
-            tasks.start(self.marks.run()),
+            tasks.start(self.crash_records.run()),
             tasks.start(self.limiter.run()),
             tasks.start(self.throttling.run()),
         ]
@@ -310,11 +318,11 @@
     def reload(self, options: dialect.Options) -> None:
         """Apply changed settings; addresses stay until the next start."""
         self.options = options
-        self.known.freshness.bound = options.key_bound
+        self.registry_state.freshness.bound = options.key_bound
         self.forwarder.reload(options)
         self.rollouts.holder.hold = options.order_hold
         self.pools.version_bound = options.version_bound
-        self.limiter.book.tolerance = options.rate_tolerance
+        self.limiter.buckets.tolerance = options.rate_tolerance
         self._drain.configure(*_read_stop_times(options))
         log.info('settings reloaded', extra={'key_bound': options.key_bound})
 
@@ -326,8 +334,8 @@
     def is_ready(self) -> bool:
         """Return whether clients should be sent here."""
         now = clocks.now()
-        fresh = self.known.freshness.is_fresh(now)
-        return self.known.is_ready() and fresh and not self.roster.leaving
+        fresh = self.registry_state.freshness.is_fresh(now)
+        return self.registry_state.is_ready() and fresh and not self.roster.leaving
 
     def _handle_unresponsive(self, sender: str, address: str, message: messages.Silent) -> None:
         self.prober.probe(message.life)
@@ -355,7 +363,7 @@
 
     async def _check_loop(self) -> None:
         while True:
-            self.turned_at = clocks.now()
+            self.loop_checked_at = clocks.now()
             await asyncio.sleep(LOOP_CHECK_INTERVAL)
 
     def _resume(self) -> None:
@@ -369,7 +377,9 @@
             await asyncio.sleep(UPKEEP_INTERVAL)
             self.adapter.pool.close_expired()
             starting = clocks.now() - self._started_at < STARTUP_SECONDS
-            self.forwarder.daemons = max(self.roster.max_alive, DAEMONS_AT_START if starting else 1)
+            self.forwarder.budget_sharers = max(
+                self.roster.max_alive, DAEMONS_AT_START if starting else 1
+            )
 
     def _listen(self) -> list[tornado.httpserver.HTTPServer]:
         """Open all ports; raises `OSError`, with the peers' sockets closed, if one is taken."""
--- a/passpier/routing/sources.py
+++ b/passpier/routing/sources.py
@@ -30,14 +30,14 @@
 """Maximum number of parts for which the last reader is kept."""
 
 
-class Source(msgspec.Struct, frozen=True):
+class CacheSource(msgspec.Struct, frozen=True):
     """The addresses where an engine fetches cached parts, and saves what it computes."""
 
     fetch: str = ''
     save: str = ''
 
 
-class Sources:
+class CacheSources:
     """Tracks which replicas and cache stores hold which prompt parts."""
 
     def __init__(self, replica_pools: pools.Pools) -> None:
@@ -49,19 +49,19 @@
 
     def choose(
         self, replica: replicas.Replica, job: choice.Job, prompt: prompts.Prompt, salt: str
-    ) -> Source:
+    ) -> CacheSource:
         """Return where a replica fetches the parts it lacks, and where it saves its own."""
         now = clocks.now()
         recent = self._find_recent_reader(replica, job, now)
         store = self._choose_store(replica, choice.get_family(job))
         store_contents = self.pools.stores.get(store)
         if store_contents is None:
-            return Source(recent or self._find_holder(replica, job))
+            return CacheSource(recent or self._find_holder(replica, job))
         shared = [cache_store_contents.hash_part(salt, p.name) for p in prompt.parts[:-1]]
         if store_contents.holds_all(shared, now):
-            return Source(recent or store)
+            return CacheSource(recent or store)
         store_contents.note_saving(shared, now)
-        return Source(recent or self._find_holder(replica, job) or store, store)
+        return CacheSource(recent or self._find_holder(replica, job) or store, store)
 
     def record_read(
         self,
@@ -95,7 +95,7 @@
         other = self.pools.find(process)
         if other is None or other is replica or now - read_at > IN_MEMORY_SECONDS:
             return ''
-        is_silent = other.name in self.pools.silent
+        is_silent = other.name in self.pools.unresponsive
         usable = not other.leaving and now >= other.paused_until and not is_silent
         same = other.weight_version == replica.weight_version
         return other.address if usable and same else ''
--- a/passpier/standins/fleet/model.py
+++ b/passpier/standins/fleet/model.py
@@ -183,7 +183,7 @@
             first = await run.first_token
             await asyncio.sleep(NETWORK_DELAY)
             replicas.note_first_token(replica, placement.attempt, loop.time())
-            chosen.sharing.note_placed(replica, job)
+            chosen.sharing.record_placement(replica, job)
             await run.ended
             return Served(first + 2 * NETWORK_DELAY, run.longest_pause)
         finally:
@@ -211,7 +211,9 @@
             )
         await engine.load()
         for one in self.routers:
-            one.pools.learn_version(replica_processes.ReplicaProcess(engine.name), version, 'model')
+            one.pools.update_version(
+                replica_processes.ReplicaProcess(engine.name), version, 'model'
+            )
 
     def _complete_report(self) -> None:
         report = self.report
--- a/passpier/standins/fleet/routers.py
+++ b/passpier/standins/fleet/routers.py
@@ -7,7 +7,7 @@
 from passpier import clocks
 from passpier.core import catalogue, members, routes
 from passpier.daemon import dispatcher, loads, metrics, peers
-from passpier.routing import pools, router, sharing, sources
+from passpier.routing import placement_sharing, pools, router, sources
 from passpier.standins import network
 from passpier.standins.fleet import engines
 
@@ -51,7 +51,9 @@
         self.membership.advance(now, 0, 0, 0, False, REQUEST_RATE)
         link: peers.Peers = net.connect(own)  # type: ignore[assignment]
         self.loads = loads.Loads(self.membership, self.pools, link, router.LOADS_INTERVAL)
-        self.sharing = sharing.Sharing(sources.Sources(self.pools), self.membership, link)
+        self.sharing = placement_sharing.PlacementSharing(
+            sources.CacheSources(self.pools), self.membership, link
+        )
         self.dispatcher = dispatcher.Dispatcher(self.pools, metrics.Metrics(), rng)
 
 
--- a/passpier/standins/platform/deployment.py
+++ b/passpier/standins/platform/deployment.py
@@ -193,7 +193,7 @@
         Until then each assumes `router.DAEMONS_AT_START` of them.
         """
         async with asyncio.timeout(bound):
-            while any(r.forwarder.daemons >= router.DAEMONS_AT_START for r in self.routers):
+            while any(r.forwarder.budget_sharers >= router.DAEMONS_AT_START for r in self.routers):
                 await asyncio.sleep(0.05)
 
     async def wait_ended(self, process: router.Router) -> None:
--- a/passpier/tests/daemon/suspects_tests.py
+++ b/passpier/tests/daemon/suspects_tests.py
@@ -21,7 +21,7 @@
 from passpier.clients import registry
 from passpier.core import members, rendezvous, replica_processes
 from passpier.daemon import peers, suspects
-from passpier.routing import knowledge, marks, pools
+from passpier.routing import crash_records, pools, registry_mirror
 from passpier.standins import network, virtual
 from passpier.tests.routing import fleets
 
@@ -88,7 +88,7 @@
     def __init__(self, fleet: Fleet, own: members.Member) -> None:
         self.own = own
         self.started_at = clocks.now()
-        self.state = knowledge.Knowledge(fleets.Records(), pools.Pools(10.0), 5.0)
+        self.state = registry_mirror.RegistryState(fleets.Records(), pools.Pools(10.0), 5.0)
         membership = members.Membership(own, 1e6, clocks.now())
         for other in fleet.members:
             membership.add(other, clocks.now())
@@ -97,7 +97,7 @@
             membership, link, fleet.has_ended, lambda: membership.choose_targets(fleet.rng)
         )
         source = cast(registry.Registry, fleet)
-        self.marks = marks.Marks(source, self.state, self.suspects, own.incarnation)
+        self.marks = crash_records.CrashRecords(source, self.state, self.suspects, own.incarnation)
         self.tasks = [
             asyncio.ensure_future(self.suspects.run()),
             asyncio.ensure_future(self.marks.run()),
--- a/passpier/tests/platform/accepting_tests.py
+++ b/passpier/tests/platform/accepting_tests.py
@@ -34,7 +34,7 @@
 def test_idle_connections_are_closed_for_new_ones() -> None:
     async def check(running: deployment.Deployment) -> None:
         clients = running.routers[0].ingress.clients
-        clients.most = MAX_CONNECTIONS
+        clients.max_open = MAX_CONNECTIONS
         harness.set_processing_time(running, 1.0)
         busy = leaving_tests.connect(running)
         busy.setblocking(False)
@@ -59,7 +59,7 @@
 def test_closed_connections_do_not_count() -> None:
     async def check(running: deployment.Deployment) -> None:
         clients = running.routers[0].ingress.clients
-        clients.most = MAX_CONNECTIONS
+        clients.max_open = MAX_CONNECTIONS
         for _ in range(4 * MAX_CONNECTIONS):
             client = leaving_tests.connect(running)
             await asyncio.sleep(0.002)
@@ -81,11 +81,11 @@
 
     async def check(running: deployment.Deployment) -> None:
         clients = running.routers[0].ingress.clients
-        clients.most = 2
+        clients.max_open = 2
         with contextlib.ExitStack() as stack:
             first = stack.enter_context(leaving_tests.connect(running))
             stack.enter_context(leaving_tests.connect(running))
-            await harness.wait_for(lambda: len(clients) == clients.most)
+            await harness.wait_for(lambda: len(clients) == clients.max_open)
             stack.enter_context(leaving_tests.connect(running))
             first.sendall(leaving_tests.render('/safe/x', 'one'))
             first.setblocking(False)
--- a/passpier/tests/platform/backoff_tests.py
+++ b/passpier/tests/platform/backoff_tests.py
@@ -88,7 +88,7 @@
     async def check(running: deployment.Deployment) -> None:
         first, second = running.routers
         process = first.pools.replicas['app-0'].process
-        first.pools.learn_signal(process, backpressure.Signal(backoff=3.0))
+        first.pools.apply_signal(process, backpressure.Signal(backoff=3.0))
         now = clocks.now()
         assert not replicas.is_open(first.pools.replicas['app-0'], now)
         assert replicas.is_open(second.pools.replicas['app-0'], now)
@@ -101,7 +101,7 @@
         (router,) = running.routers
         replica = router.pools.replicas['app-0']
         for backoff in (3.0, 0.1, 1e9):
-            router.pools.learn_signal(replica.process, backpressure.Signal(backoff=backoff))
+            router.pools.apply_signal(replica.process, backpressure.Signal(backoff=backoff))
             assert replica.backoff_until > clocks.now() + 2.0
         assert replica.backoff_until <= clocks.now() + pools.BACKOFF_MAX
 
@@ -122,7 +122,7 @@
             connection = await connect(address)
             if address == running.replicas['app-0'].address:
                 process = router.pools.replicas['app-0'].process
-                router.pools.learn_signal(process, backpressure.Signal(backoff=2.0))
+                router.pools.apply_signal(process, backpressure.Signal(backoff=2.0))
             return connection
 
         monkeypatch.setattr(pool, '_connect', connect_late)
--- a/passpier/tests/platform/fleet_tests.py
+++ b/passpier/tests/platform/fleet_tests.py
@@ -111,7 +111,7 @@
         routes = running.configuration['routes']
         moved = [{**r, 'path_prefix': '/moved/'} if r['name'] == 'safe' else r for r in routes]
         running.configure(routes=moved)
-        states = [r.known for r in running.routers]
+        states = [r.registry_state for r in running.routers]
         await wait_for(lambda: all(s.table.configuration.version == 2 for s in states), 1.0)  # type: ignore[union-attr]
         for entry in range(2):
             assert (await running.ask('/moved/x', entry)).status == 200
@@ -124,7 +124,10 @@
     async def check(running: deployment.Deployment) -> None:
         assert (await running.ask('/safe/x', key='secret-2')).status == 200
         running.configure(tenants=running.configuration['tenants'][:1])
-        await wait_for(lambda: running.routers[0].known.table.configuration.version == 2, 0.5)  # type: ignore[union-attr]
+        await wait_for(
+            lambda: running.routers[0].registry_state.table.configuration.version == 2,  # type: ignore[union-attr]
+            0.5,
+        )
         reply = await running.ask('/safe/x', key='secret-2', id='late')
         assert reply.status == 401
         assert not running.list_runs('late')
@@ -137,7 +140,7 @@
         running.faults.down = True
         key_bound = running.routers[0].options.key_bound
         while (await running.ask('/safe/x', id='x')).status == 200:
-            assert running.routers[0].known.freshness.compute_age(clocks.now()) < key_bound
+            assert running.routers[0].registry_state.freshness.compute_age(clocks.now()) < key_bound
             await asyncio.sleep(0.02)
         reply = await running.ask('/safe/x', id='late')
         assert reply.status == 503
@@ -314,9 +317,11 @@
 def test_new_router_spends_little_of_the_shared_retry_budget() -> None:
     async def check(running: deployment.Deployment) -> None:
         process = running.routers[0]
-        assert process.forwarder.daemons >= router.DAEMONS_AT_START
+        assert process.forwarder.budget_sharers >= router.DAEMONS_AT_START
         budget = process.forwarder.get_budget('app')
-        granted = sum(budget.spend(clocks.now(), process.forwarder.daemons) for _ in range(100))
+        granted = sum(
+            budget.spend(clocks.now(), process.forwarder.budget_sharers) for _ in range(100)
+        )
         assert granted <= process.options.retry_slack / router.DAEMONS_AT_START
 
     run_check(check)
--- a/passpier/tests/platform/leaving_tests.py
+++ b/passpier/tests/platform/leaving_tests.py
@@ -169,7 +169,7 @@
 
     async def check(running: deployment.Deployment) -> None:
         running.configure(limits={'max_body_bytes': len(body)})
-        state = running.routers[0].known
+        state = running.routers[0].registry_state
         await harness.wait_for(
             lambda: state.table is not None and state.table.configuration.version == 2
         )
--- a/passpier/tests/platform/limits_tests.py
+++ b/passpier/tests/platform/limits_tests.py
@@ -45,8 +45,9 @@
     """Wait until all routers know the rate and have nearly their full share of the burst."""
     async with asyncio.timeout(20):
         while not all(
-            r.limiter.book.has_rates
-            and r.limiter.book.get_level('tower', clocks.now()) >= RATE * 0.9 / len(running.routers)
+            r.limiter.buckets.has_rates
+            and r.limiter.buckets.get_level('tower', clocks.now())
+            >= RATE * 0.9 / len(running.routers)
             for r in running.routers
         ):
             for process in running.routers:
@@ -104,7 +105,7 @@
         await harness.wait_for(lambda: not running.routers[0].pools.replicas)
         replies = [await running.ask('/stream/x', headers=PROMPT) for _ in range(10)]
         assert {r.status for r in replies} == {503}
-        assert running.routers[0].limiter.book.get_level('tower', clocks.now()) >= RATE * 0.9
+        assert running.routers[0].limiter.buckets.get_level('tower', clocks.now()) >= RATE * 0.9
 
     harness.run_check(check)
 
@@ -115,7 +116,7 @@
         await wait_full(running)
         for replica in running.replicas.values():
             replica.faults.lose = 1
-        book = running.routers[0].limiter.book
+        book = running.routers[0].limiter.buckets
         before = book.get_spent('tower')
         await running.ask('/resume/x', id='one', headers=PROMPT)
         assert book.get_spent('tower') - before == COST * len(running.list_runs('one'))
@@ -127,7 +128,7 @@
     async def check(running: deployment.Deployment) -> None:
         set_rate(running)
         await wait_full(running)
-        book = running.routers[0].limiter.book
+        book = running.routers[0].limiter.buckets
         before = book.get_spent('tower')
         await running.ask('/safe/x')
         assert book.get_spent('tower') - before == 200
--- a/passpier/tests/platform/lives_tests.py
+++ b/passpier/tests/platform/lives_tests.py
@@ -16,7 +16,7 @@
 from passpier.clients import registry
 from passpier.core import choice, pauses, prompts, replica_processes
 from passpier.platform import dialect, names
-from passpier.routing import knowledge, pools
+from passpier.routing import pools, registry_mirror
 from passpier.standins.platform import deployment
 from passpier.tests.platform import harness
 
@@ -32,7 +32,7 @@
     """Applies entries to the registry state of a router, each at the next revision."""
 
     def __init__(self) -> None:
-        self.state = knowledge.Knowledge(dialect.Records(), pools.Pools(10.0), 5.0)
+        self.state = registry_mirror.RegistryState(dialect.Records(), pools.Pools(10.0), 5.0)
         self.revision = 0
         self.put(names.CONFIGURATION_KEY, {'version': 1, 'services': SERVICES})
 
@@ -41,7 +41,7 @@
         self.revision += 1
         item = registry.Item(key, data, self.revision)
         now = clocks.now()
-        self.state.take_changes(registry.Changes((item,), self.revision, now, now), 0.0, now)
+        self.state.apply_watch(registry.Changes((item,), self.revision, now, now), 0.0, now)
 
     def record(self, id: str = ID, **fields: Any) -> None:
         self.put(names.REPLICA_PREFIX + id, make_entry(**fields))
@@ -103,7 +103,7 @@
     replica_pools = store.state.pools
     before = replica_pools.get(ID)
     before.seconds_per_token = 1.0
-    replica_pools.silent.add(ID)
+    replica_pools.unresponsive.add(ID)
     for _ in range(3):
         replica_pools.ejector.note_failure(ID, clocks.now())
     before.paused_until = clocks.now() + 100.0
@@ -112,7 +112,7 @@
     after = replica_pools.get(ID)
     assert after.seconds_per_token < 1.0
     assert after.paused_until < now
-    assert not replica_pools.silent
+    assert not replica_pools.unresponsive
     assert not replica_pools.ejector.is_ejected(ID, now)
 
 
--- a/passpier/tests/platform/path_tests.py
+++ b/passpier/tests/platform/path_tests.py
@@ -233,7 +233,7 @@
         state = running.routers[0].pools.replicas[silent.id]
         while loop.time() < state.paused_until:
             await asyncio.sleep(0.02)
-        assert not running.routers[0].prober.is_silent(silent.id)
+        assert not running.routers[0].prober.is_unresponsive(silent.id)
 
     harness.run_check(check)
 
@@ -257,7 +257,7 @@
     async def check(running: deployment.Deployment) -> None:
         for stand_in in running.replicas.values():
             stand_in.faults.cut = 1
-        freshness = running.routers[0].known.freshness
+        freshness = running.routers[0].registry_state.freshness
         pending = asyncio.ensure_future(
             running.ask('/resume/x', id='one', headers=harness.PROMPT_HEADERS)
         )
@@ -280,7 +280,7 @@
         for stand_in in running.replicas.values():
             stand_in.faults.lose = 1
             stand_in.work = 0.1
-        freshness = running.routers[0].known.freshness
+        freshness = running.routers[0].registry_state.freshness
         pending = asyncio.ensure_future(running.ask('/safe/x', id='one'))
         running.faults.down = True
         while not running.list_runs('one'):
--- a/passpier/tests/platform/records_tests.py
+++ b/passpier/tests/platform/records_tests.py
@@ -12,7 +12,7 @@
 
 from passpier import exceptions
 from passpier.platform import names, records
-from passpier.routing import knowledge
+from passpier.routing import registry_mirror
 from passpier.tests.platform import lives_tests
 
 ID = lives_tests.ID
@@ -179,7 +179,7 @@
         {'model': 'another', 'version': 5},
     ):
         store.put(key, invalid)
-    newest = {m: n.newest for m, n in store.state.pools.namings.items()}
+    newest = {m: n.newest for m, n in store.state.pools.releases.items()}
     assert newest == {lives_tests.MODEL: 4}
 
 
@@ -187,7 +187,7 @@
     store: lives_tests.RegistryWriter, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines: list[str] = []
-    monkeypatch.setattr(knowledge.log, 'warning', lambda text, **_: lines.append(text))
+    monkeypatch.setattr(registry_mirror.log, 'warning', lambda text, **_: lines.append(text))
     for _ in range(5):
         store.put(names.REPLICA_PREFIX + ID, b'\xff')
     assert len(lines) == 1
@@ -218,7 +218,7 @@
 ) -> None:
     lines: list[str] = []
     counted: list[str] = []
-    monkeypatch.setattr(knowledge.log, 'warning', lambda text, **_: lines.append(text))
+    monkeypatch.setattr(registry_mirror.log, 'warning', lambda text, **_: lines.append(text))
     store.state.on_refused = counted.append
     for _ in range(2):
         for number, invalid in enumerate([*INVALID.values()] * 3):
--- a/passpier/tests/platform/silence_tests.py
+++ b/passpier/tests/platform/silence_tests.py
@@ -117,7 +117,7 @@
 
 def test_unresponsive_watch_does_not_count_as_one_without_changes() -> None:
     async def check(proxied: ProxiedDeployment) -> None:
-        state = proxied.running.routers[0].known
+        state = proxied.running.routers[0].registry_state
         # Now a watch request is waiting for changes.
         await asyncio.sleep(0.3)
         before = state.freshness.proved_at
@@ -190,7 +190,7 @@
             *(running.ask(path, headers=headers, patience_ms=4000) for _ in range(8))
         )
         assert [r.status for r in replies] == [200] * 8
-        assert not running.routers[0].pools.silent
+        assert not running.routers[0].pools.unresponsive
         again = [await running.ask(path, headers=headers) for _ in range(4)]
         assert [r.status for r in again] == [200] * 4
 
@@ -213,7 +213,7 @@
         assert reply.status == 200
         assert reply.body.count(b'id: ') == 100
         assert len(proxied.running.list_runs('one')) == 2
-        assert not proxied.running.routers[0].pools.silent
+        assert not proxied.running.routers[0].pools.unresponsive
 
     run_check(check)
 
--- a/passpier/tests/platform/standins_tests.py
+++ b/passpier/tests/platform/standins_tests.py
@@ -38,7 +38,11 @@
         else:
             raise AssertionError('the running request was not interrupted')
         report = await engines.report(stand_in.address, stand_in.id)
-        assert (report.orders, report.running, report.versions) == (0, 0, {deployment.MODEL: 3})
+        assert (report.accepted_orders, report.running, report.versions) == (
+            0,
+            0,
+            {deployment.MODEL: 3},
+        )
         changes = await engines.read_cache_changes(stand_in.address, 0, 0.0)
         assert (changes.epoch, changes.changes) == (stand_in.born, ())
         assert stand_in.address == before[0]
--- a/passpier/tests/platform/throttling_tests.py
+++ b/passpier/tests/platform/throttling_tests.py
@@ -132,7 +132,7 @@
         pending = [asyncio.ensure_future(running.ask('/safe/x')) for _ in range(8)]
         await asyncio.sleep(0.1)
         for upstream in router.pools.replicas.values():
-            router.pools.learn_signal(upstream.process, backpressure.Signal(limit=0.0))
+            router.pools.apply_signal(upstream.process, backpressure.Signal(limit=0.0))
         allowed.set()
         replies = await asyncio.gather(*pending)
         assert {r.status for r in replies} == {503}
--- a/passpier/tests/routing/cache_store_follower_tests.py
+++ b/passpier/tests/routing/cache_store_follower_tests.py
@@ -35,7 +35,7 @@
         self.handlers: dict[type, Any] = {}
         self.sent: list[messages.Kept] = []
 
-    def handle(self, kind: type, handler: Any) -> None:
+    def register_handler(self, kind: type, handler: Any) -> None:
         self.handlers[kind] = handler
 
     def notify_serving(self, message: messages.Kept) -> None:
--- a/passpier/tests/routing/crash_records_tests.py
+++ b/passpier/tests/routing/crash_records_tests.py
@@ -12,7 +12,7 @@
 from passpier.clients import registry
 from passpier.core import crashes, members, replica_processes
 from passpier.daemon import peers, suspects
-from passpier.routing import knowledge, marks, pools
+from passpier.routing import crash_records, pools, registry_mirror
 from passpier.standins import virtual
 from passpier.tests.routing import fleets
 
@@ -53,7 +53,7 @@
 class NoPeers:
     """The peer links of a process that reaches no other."""
 
-    def handle(self, kind: object, handler: object) -> None:
+    def register_handler(self, kind: object, handler: object) -> None:
         """Ignore the handler."""
 
     def send_all(self, addresses: object, message: object) -> None:
@@ -66,11 +66,13 @@
     def __init__(self, source: Registry, name: str) -> None:
         own = members.Member(name, name, '10.0.0.1', 1, 2, 'd0')
         self.source = source
-        self.known = knowledge.Knowledge(fleets.Records(), pools.Pools(10.0), 5.0)
+        self.known = registry_mirror.RegistryState(fleets.Records(), pools.Pools(10.0), 5.0)
         self.suspects = suspects.Suspects(
             members.Membership(own, 1.0, 0.0), cast(peers.Peers, NoPeers()), ended, list
         )
-        self.marks = marks.Marks(cast(registry.Registry, source), self.known, self.suspects, name)
+        self.marks = crash_records.CrashRecords(
+            cast(registry.Registry, source), self.known, self.suspects, name
+        )
 
     async def observe_crash(
         self, fingerprint: int, replica_process: replica_processes.ReplicaProcess = PROCESS
--- a/passpier/tests/routing/fleets.py
+++ b/passpier/tests/routing/fleets.py
@@ -10,7 +10,7 @@
 from passpier import clocks, exceptions
 from passpier.clients import registry
 from passpier.core import catalogue, members, routes
-from passpier.routing import knowledge, pools, registry_follower, relaying
+from passpier.routing import pools, registry_follower, registry_mirror, relaying
 from passpier.standins import network, virtual
 
 KEY_BOUND = 5.0
@@ -100,7 +100,7 @@
 class Process:
     """One process: its registry state and how it gets it."""
 
-    known: knowledge.Knowledge
+    known: registry_mirror.RegistryState
     membership: members.Membership
     relay: relaying.Relay
     connection: Connection
@@ -128,7 +128,7 @@
         self.tasks: dict[str, list[asyncio.Task[None]]] = {}
 
     def make(self, own: members.Member, fleet: list[members.Member]) -> Process:
-        known = knowledge.Knowledge(Records(), pools.Pools(VERSION_BOUND), KEY_BOUND)
+        known = registry_mirror.RegistryState(Records(), pools.Pools(VERSION_BOUND), KEY_BOUND)
         membership = members.Membership(own, 1e6, clocks.now())
         for member in fleet:
             membership.add(member, clocks.now())
--- a/passpier/tests/routing/pools_tests.py
+++ b/passpier/tests/routing/pools_tests.py
@@ -33,9 +33,9 @@
     """
     replica_pools.record_release('m', 8, 100.0, 100.0)
     replica_pools.record_release('m', 9, 105.5, 105.5)
-    replica_pools.learn_version(replica_processes.ReplicaProcess('r0'), 7, 'registry')
-    replica_pools.learn_version(replica_processes.ReplicaProcess('r1'), 8, 'registry')
-    replica_pools.learn_version(replica_processes.ReplicaProcess('r2'), 9, 'registry')
+    replica_pools.update_version(replica_processes.ReplicaProcess('r0'), 7, 'registry')
+    replica_pools.update_version(replica_processes.ReplicaProcess('r1'), 8, 'registry')
+    replica_pools.update_version(replica_processes.ReplicaProcess('r2'), 9, 'registry')
     monkeypatch.setattr(clocks, 'now', lambda: 109.0)
     serving = {r.name for r in replica_pools.list_serving('s')}
     assert serving & {'r0', 'r1', 'r2'} == {'r1', 'r2'}
@@ -52,11 +52,11 @@
         'is to load',
         9,
     )
-    replica_pools.learn_version(replica_processes.ReplicaProcess('r0'), 8, 'registry')
+    replica_pools.update_version(replica_processes.ReplicaProcess('r0'), 8, 'registry')
     replica_pools.resume(replica_processes.ReplicaProcess('r0'), pauses.Pause.LOADING, 8)
     assert not replicas.is_open(replica_pools.get('r0'), 100.0)
     monkeypatch.setattr(clocks, 'now', lambda: 100.5)
-    replica_pools.learn_version(replica_processes.ReplicaProcess('r0'), 9, 'registry')
+    replica_pools.update_version(replica_processes.ReplicaProcess('r0'), 9, 'registry')
     assert replicas.is_open(replica_pools.get('r0'), 100.5)
 
 
@@ -72,7 +72,7 @@
         'is to load',
         2,
     )
-    replica_pools.learn_version(replica_processes.ReplicaProcess('r0'), 2, 'peer')
+    replica_pools.update_version(replica_processes.ReplicaProcess('r0'), 2, 'peer')
     assert not replicas.is_open(replica_pools.get('r0'), 100.0)
     replica_pools.resume(replica_processes.ReplicaProcess('r0'), pauses.Pause.SILENT)
     assert replicas.is_open(replica_pools.get('r0'), 100.0)
--- a/passpier/tests/routing/rate_limiting_tests.py
+++ b/passpier/tests/routing/rate_limiting_tests.py
@@ -13,7 +13,7 @@
 from passpier import clocks
 from passpier.core import buckets, entries, members
 from passpier.daemon import messages
-from passpier.routing import knowledge, rate_limiting
+from passpier.routing import rate_limiting, registry_mirror
 from passpier.standins import network, virtual
 
 RATE = buckets.Rate(100_000, 100_000)
@@ -34,7 +34,7 @@
         self.membership = members.Membership(own, 0.5, clocks.now())
         link = cast(Any, net.connect(own))
         table = types.SimpleNamespace(rates=rates)
-        known = cast(knowledge.Knowledge, types.SimpleNamespace(table=table))
+        known = cast(registry_mirror.RegistryState, types.SimpleNamespace(table=table))
         tolerance = buckets.Tolerance(8.0, 0.1, 110_000)
         self.limiter = rate_limiting.RateLimiter(
             known, self.membership, link, tolerance, random.Random(number)
@@ -96,7 +96,7 @@
         # Some are named to clients without being used yet.
         sharing = SERVING + entries.MIN_ACTIVE
         assert sent <= 1.2 * rounds * sharing * (sharing - 1)
-        assert fleet.processes[0].limiter.book.compute_share(clocks.now()) == 1.0
+        assert fleet.processes[0].limiter.buckets.compute_share(clocks.now()) == 1.0
 
     virtual.run(play())
 
--- a/passpier/tests/routing/knowledge_tests.py
+++ b/passpier/tests/routing/registry_mirror_tests.py
@@ -5,7 +5,7 @@
 import pytest
 
 from passpier.clients import registry
-from passpier.routing import history, knowledge, pools
+from passpier.routing import history, pools, registry_mirror
 from passpier.tests.routing import fleets
 
 NOW = 100.0
@@ -16,14 +16,16 @@
 HOLDER = registry.Item('own/order-holder', b'vm-1', 91)
 
 
-def make_state() -> knowledge.Knowledge:
-    return knowledge.Knowledge(fleets.Records(), pools.Pools(10.0), 5.0)
+def make_state() -> registry_mirror.RegistryState:
+    return registry_mirror.RegistryState(fleets.Records(), pools.Pools(10.0), 5.0)
 
 
-def apply_from_peer(state: knowledge.Knowledge, revision: int, *items: registry.Item) -> None:
+def apply_from_peer(
+    state: registry_mirror.RegistryState, revision: int, *items: registry.Item
+) -> None:
     changes = history.ChangeSet(items, False)
     assert state.apply_peer_changes(
-        knowledge.PeerChanges(changes, state.revision, revision, {}), NOW
+        registry_mirror.PeerChanges(changes, state.revision, revision, {}), NOW
     )
 
 
@@ -41,7 +43,9 @@
         apply_from_peer(state, 104, GONE)
         apply_from_peer(state, 105, registry.Item(HOLDER.key, b'', 105, removed=True))
     else:
-        peer_changes = knowledge.PeerChanges(history.ChangeSet((CONFIGURATION,), True), 0, 105, {})
+        peer_changes = registry_mirror.PeerChanges(
+            history.ChangeSet((CONFIGURATION,), True), 0, 105, {}
+        )
         assert state.apply_peer_changes(peer_changes, NOW)
     late = registry.Reading((CONFIGURATION, READY, HOLDER), 100, NOW)
     state.apply_listing(late, NOW + 0.2)
--- a/passpier/tests/routing/relaying_tests.py
+++ b/passpier/tests/routing/relaying_tests.py
@@ -14,7 +14,7 @@
 from passpier import clocks
 from passpier.clients import registry
 from passpier.core import catalogue
-from passpier.routing import history, knowledge, relaying
+from passpier.routing import history, registry_mirror, relaying
 from passpier.tests.routing import fleets
 
 pytestmark = pytest.mark.usefixtures('virtual_clock')
@@ -220,7 +220,7 @@
         known = fleet.processes[0].known
         proved_at = known.freshness.proved_at
         assert not known.apply_freshness(known.revision + 1, clocks.now())
-        told = knowledge.PeerChanges(history.ChangeSet((), False), known.revision + 1, 99, {})
+        told = registry_mirror.PeerChanges(history.ChangeSet((), False), known.revision + 1, 99, {})
         assert not known.apply_peer_changes(told, 0.0)
         assert known.freshness.proved_at == proved_at
 
--- a/passpier/tests/routing/releases_tests.py
+++ b/passpier/tests/routing/releases_tests.py
@@ -140,7 +140,7 @@
         weights.release(2)
         await asyncio.sleep(fleets.VERSION_BOUND)
         for process in fleet.processes:
-            outdated = process.known.pools.namings['model'].get_outdated(1)
+            outdated = process.known.pools.releases['model'].get_outdated(1)
             assert outdated is not None
             assert 0.0 <= weights.released_at[2] - outdated.not_before <= FRESHNESS_AGE
 
--- a/passpier/tests/routing/replica_restarts_tests.py
+++ b/passpier/tests/routing/replica_restarts_tests.py
@@ -30,14 +30,14 @@
 from passpier.daemon import loads, messages, peers
 from passpier.routing import (
     dialect,
-    knowledge,
+    placement_sharing,
     pools,
     probing,
     registry_follower,
+    registry_mirror,
     response_reader,
     rollouts,
     roster,
-    sharing,
     sources,
 )
 from passpier.standins import network, virtual
@@ -100,14 +100,14 @@
     """All components of a router that track replicas, with one peer."""
 
     def __init__(self) -> None:
-        self.known = knowledge.Knowledge(Records(), pools.Pools(10.0), 5.0)
+        self.known = registry_mirror.RegistryState(Records(), pools.Pools(10.0), 5.0)
         self.pools = self.known.pools
         net = network.Network(random.Random(1))
         own = members.Member('vm-0', 'i0', '10.0.0.1', 1, 2, 'd0')
         link = cast(peers.Peers, net.connect(own))
         membership = members.Membership(own, 1e6, clocks.now())
-        self.sources = sources.Sources(self.pools)
-        self.sharing = sharing.Sharing(self.sources, membership, link)
+        self.sources = sources.CacheSources(self.pools)
+        self.sharing = placement_sharing.PlacementSharing(self.sources, membership, link)
         self.loads = loads.Loads(membership, self.pools, link)
         self.rollouts = rollouts.Rollouts(
             cast(registry.Registry, None),
@@ -124,7 +124,7 @@
     def put(self, revision: int, key: str, data: bytes) -> None:
         items = (registry.Item(key, data, revision),)
         now = clocks.now()
-        self.known.take_changes(registry.Changes(items, revision, now, now), 0.0, now)
+        self.known.apply_watch(registry.Changes(items, revision, now, now), 0.0, now)
 
     def record(
         self,
@@ -152,7 +152,7 @@
 
 
 def answer(replica_process: replica_processes.ReplicaProcess, version: int) -> Event:
-    return lambda process: process.pools.learn_version(replica_process, version, 'answer')
+    return lambda process: process.pools.update_version(replica_process, version, 'answer')
 
 
 def loaded(replica_process: replica_processes.ReplicaProcess, version: int) -> Event:
@@ -394,13 +394,13 @@
         prober = probing.Prober(
             fleet.rollouts._registry_state, cast(dialect.Engines, engines), received.append
         )
-        fleet.pools.silent.add(ID)
+        fleet.pools.unresponsive.add(ID)
         fleet.pools.pause(OLD, pauses.Pause.SILENT, 100.0, 'gives no answer')
         engines.restart(ID)
         prober.probe(OLD, 0.0)
         await asyncio.sleep(0.1)
         assert fleet.pools.get(ID).process == NEW
-        assert not prober.is_silent(ID)
+        assert not prober.is_unresponsive(ID)
         assert fleet.pools.get(ID).paused_until < clocks.now()
         assert not received
 
@@ -498,8 +498,8 @@
         change = fleet.rollouts._registry_state.catalogue.put(make_entry(NEW, 1))
         assert change is not None
         fleet.pools.apply_change(change)
-        fleet.pools.silent.add(ID)
+        fleet.pools.unresponsive.add(ID)
         await asyncio.sleep(1.0)
-        assert prober.is_silent(ID)
+        assert prober.is_unresponsive(ID)
 
     virtual.run(check())
--- a/passpier/tests/routing/rollouts_tests.py
+++ b/passpier/tests/routing/rollouts_tests.py
@@ -12,7 +12,7 @@
 from passpier.clients import registry
 from passpier.core import catalogue, members, routes
 from passpier.daemon import messages, peers
-from passpier.routing import dialect, knowledge, pools, registry_follower, rollouts, roster
+from passpier.routing import dialect, pools, registry_follower, registry_mirror, rollouts, roster
 from passpier.standins import network, virtual
 from passpier.tests.routing import fleets
 
@@ -63,7 +63,7 @@
     def __init__(self, *names: str) -> None:
         self.engines = Engines()
         self.roster = Roster()
-        known = knowledge.Knowledge(fleets.Records(), pools.Pools(10.0), 5.0)
+        known = registry_mirror.RegistryState(fleets.Records(), pools.Pools(10.0), 5.0)
         self.pools = known.pools
         link = network.Network(random.Random(1)).connect(
             members.Member('vm-0', 'i0', '10.0.0.1', 1, 2, 'd0')
--- a/passpier/tests/routing/throttling_tests.py
+++ b/passpier/tests/routing/throttling_tests.py
@@ -60,7 +60,7 @@
 
     def receive(self, signal: backpressure.Signal, sent_ago: float | None = 0.0) -> None:
         ran_since = None if sent_ago is None else clocks.now() - sent_ago
-        self.pools.learn_signal(REPLICA_PROCESS, signal, ran_since)
+        self.pools.apply_signal(REPLICA_PROCESS, signal, ran_since)
 
     @property
     def replica(self) -> replicas.Replica:
