--- a/passpier/clients/connections.py
+++ b/passpier/clients/connections.py
@@ -55,7 +55,7 @@
 """Offset of the number of unacknowledged segments in Linux's `struct tcp_info`."""
 
 
-def guard(sock: socket.socket) -> None:
+def configure_keepalive(sock: socket.socket) -> None:
     """Make the kernel close unresponsive connections; accepted sockets inherit the options.
 
     On loopback with a packet filter, a connection was closed 1.9 s after unacknowledged bytes, and
@@ -90,7 +90,7 @@
         return self.stream.closed()
 
     @property
-    def is_silent(self) -> bool:
+    def has_unacked_data(self) -> bool:
         """Whether sent bytes are unacknowledged; a healthy network takes milliseconds for that."""
         if self.closed:
             return False
@@ -102,9 +102,9 @@
             return False
         return bool(unacked)
 
-    def note_silent(self) -> None:
+    def note_unresponsive(self) -> None:
         """Record that the current exchange has received nothing."""
-        self._pool.note_silent(self.address, self.used_at)
+        self._pool.note_unresponsive(self.address, self.used_at)
 
     def close(self) -> None:
         """Close the connection immediately."""
@@ -125,7 +125,7 @@
                 log.warning('bytes on an idle connection', extra={'address': self.address})
                 self.close()
                 return
-            if not self.exchange.heard:
+            if not self.exchange.received_any:
                 self._pool.note_response(self)
             await self.exchange.feed(data)
 
@@ -134,10 +134,10 @@
             return
         reset = isinstance(self.stream.error, ConnectionResetError)
         quick = clocks.now() - self.used_at < STALE_RESET_WINDOW
-        if self.idle_since and reset and quick and not self.exchange.heard:
+        if self.idle_since and reset and quick and not self.exchange.received_any:
             self._pool.note_stale(self.address, self.used_at - self.idle_since)
         if isinstance(self.stream.error, TimeoutError):
-            self.note_silent()
+            self.note_unresponsive()
         self.exchange.note_closed(self.stream.error)
 
 
@@ -187,7 +187,7 @@
 
     async def fetch(
         self, address: str, request: exchanges.Request, timeout: float
-    ) -> exchanges.Answer:
+    ) -> exchanges.Response:
         """Return the complete response within `timeout` seconds; raise `ExchangeError` if not."""
         exchange: exchanges.Exchange | None = None
         try:
@@ -195,8 +195,8 @@
                 exchange = await self.open(address, request)
                 return await exchange.read_all()
         except TimeoutError as error:
-            if exchange is not None and not exchange.heard:
-                exchange.note_silent()
+            if exchange is not None and not exchange.received_any:
+                exchange.note_unresponsive()
             raise exchanges.ExchangeError(
                 exchanges.Fault.TIMED_OUT, 'timed out', exchange is not None
             ) from error
@@ -218,7 +218,7 @@
                 connection.close()
         self._idle.clear()
 
-    def close_resting(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address whose process has ended."""
         for connection in self._idle.pop(address, []):
             connection.close()
@@ -276,7 +276,7 @@
             },
         )
 
-    def note_silent(self, address: str, since: float) -> None:
+    def note_unresponsive(self, address: str, since: float) -> None:
         """Record that a connection has received nothing since a request was sent on it."""
         idle = self._idle.pop(address, [])
         if idle or address not in self._unresponsive_since:
@@ -318,7 +318,7 @@
         host, _, port = address.rpartition(':')
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        guard(sock)
+        configure_keepalive(sock)
         stream = tornado.iostream.IOStream(sock)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
--- a/passpier/clients/engines.py
+++ b/passpier/clients/engines.py
@@ -106,7 +106,7 @@
     async def report(self, address: str) -> LoadReport:
         """Fetch an engine's load report."""
 
-    async def order(self, address: str, wanted: Mapping[str, Any], timeout: float) -> web.Answer:
+    async def order(self, address: str, wanted: Mapping[str, Any], timeout: float) -> web.Response:
         """Send an engine its desired state."""
 
 
@@ -150,7 +150,7 @@
         except msgspec.DecodeError as error:
             raise web.ExchangeError(f'invalid load report: {error}', True) from error
 
-    async def order(self, address: str, wanted: Mapping[str, Any], timeout: float) -> web.Answer:
+    async def order(self, address: str, wanted: Mapping[str, Any], timeout: float) -> web.Response:
         """Send an engine its desired state."""
         body = msgspec.json.encode(wanted)
         return await self._client.fetch('PUT', f'http://{address}/wanted', body, timeout=timeout)
--- a/passpier/clients/exchanges.py
+++ b/passpier/clients/exchanges.py
@@ -89,7 +89,7 @@
         return next((v for n, v in self.headers if n == wanted), None)
 
 
-class Answer(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """A complete response."""
 
     head: Head
@@ -104,10 +104,10 @@
     exchange: Exchange | None
 
     @property
-    def is_silent(self) -> bool:
+    def has_unacked_data(self) -> bool:
         """Whether the peer has not yet acknowledged all sent bytes."""
 
-    def note_silent(self) -> None:
+    def note_unresponsive(self) -> None:
         """Record that the current exchange has received nothing."""
 
     def close(self) -> None:
@@ -132,7 +132,7 @@
         self._ended = False
         self._error: ExchangeError | None = None
         self._is_mismatched = False
-        self.heard = False
+        self.received_any = False
         """Whether any bytes have been received."""
 
         connection.exchange = self
@@ -154,13 +154,13 @@
         future.add_done_callback(lambda f: f.exception())
 
     @property
-    def is_silent(self) -> bool:
+    def has_unacked_data(self) -> bool:
         """Whether the request is sent, but the peer's kernel has not acknowledged it."""
-        return not self.heard and self._connection.is_silent
+        return not self.received_any and self._connection.has_unacked_data
 
-    def note_silent(self) -> None:
+    def note_unresponsive(self) -> None:
         """Keep other requests off connections that may be as unresponsive as this one."""
-        self._connection.note_silent()
+        self._connection.note_unresponsive()
 
     async def read_head(self) -> Head:
         """Wait for the response's status and headers."""
@@ -180,7 +180,7 @@
         self._drained.set()
         return part
 
-    async def read_all(self, max_bytes: int = 16 * 1024 * 1024) -> Answer:
+    async def read_all(self, max_bytes: int = 16 * 1024 * 1024) -> Response:
         """Read the complete response; its body may have at most `max_bytes` bytes."""
         head = await self.read_head()
         body = bytearray()
@@ -188,7 +188,7 @@
             body += part
             if len(body) > max_bytes:
                 raise ExchangeError(Fault.MALFORMED, 'the response is too long', True)
-        return Answer(head, bytes(body))
+        return Response(head, bytes(body))
 
     def close(self) -> None:
         """Abort the exchange; whatever has not been received is discarded."""
@@ -201,7 +201,7 @@
 
     async def feed(self, data: bytes) -> None:
         """Parse received bytes; wait while the reader of the body is far behind."""
-        self.heard = True
+        self.received_any = True
         try:
             self._parser.receive_data(data)
             self._parse()
--- a/passpier/clients/registry.py
+++ b/passpier/clients/registry.py
@@ -25,7 +25,7 @@
     removed: bool = False
 
 
-class Reading(msgspec.Struct, frozen=True):
+class Listing(msgspec.Struct, frozen=True):
     """All items under a prefix; changes after `revision` may or may not be included."""
 
     items: tuple[Item, ...]
@@ -39,7 +39,7 @@
     items: tuple[Item, ...]
     revision: int
     sent_at: float
-    answered_at: float
+    received_at: float
 
 
 class Put(msgspec.Struct, frozen=True):
@@ -50,18 +50,18 @@
     lease: int = 0
 
 
-class IsAt(msgspec.Struct, frozen=True):
+class ExpectedRevision(msgspec.Struct, frozen=True):
     """A precondition: the key was last written at `revision`; 0 means that it does not exist."""
 
     key: str
     revision: int
 
 
-class HistoryGoneError(exceptions.StoreError):
+class CompactedError(exceptions.StoreError):
     """The service has dropped the history after a revision; the prefix has to be read again."""
 
 
-class LeaseGoneError(exceptions.StoreError):
+class LeaseExpiredError(exceptions.StoreError):
     """The lease has expired."""
 
 
@@ -71,13 +71,13 @@
     Each may raise `StoreError`; a write that raised it may nevertheless take effect.
     """
 
-    async def read(self, prefix: str) -> Reading:
+    async def read(self, prefix: str) -> Listing:
         """Return all items under a prefix."""
 
     async def watch(self, prefix: str, after: int, wait: float) -> Changes:
         """Return the changes after a revision, after at most `wait` seconds."""
 
-    async def write(self, puts: Sequence[Put], conditions: Sequence[IsAt] = ()) -> int:
+    async def write(self, puts: Sequence[Put], conditions: Sequence[ExpectedRevision] = ()) -> int:
         """Apply all writes in one transaction and return its revision.
 
         Raises `ConflictError` if a precondition does not hold.
--- a/passpier/clients/store.py
+++ b/passpier/clients/store.py
@@ -33,7 +33,7 @@
 
 
 Put = registry.Put
-IsAt = registry.IsAt
+ExpectedRevision = registry.ExpectedRevision
 
 
 class Store(Protocol):
@@ -46,7 +46,7 @@
         """Return the value of a key, or none if it does not exist."""
 
     async def write(
-        self, operations: Sequence[Put | Delete], conditions: Sequence[IsAt] = ()
+        self, operations: Sequence[Put | Delete], conditions: Sequence[ExpectedRevision] = ()
     ) -> bool:
         """Apply all operations if all conditions hold; return whether they did."""
 
@@ -82,7 +82,7 @@
         return _parse_value(kvs[0]) if kvs else None
 
     async def write(
-        self, operations: Sequence[Put | Delete], conditions: Sequence[IsAt] = ()
+        self, operations: Sequence[Put | Delete], conditions: Sequence[ExpectedRevision] = ()
     ) -> bool:
         """Apply all operations if all conditions hold; return whether they did."""
         compare = [
@@ -151,7 +151,7 @@
         return self._values.get(key)
 
     async def write(
-        self, operations: Sequence[Put | Delete], conditions: Sequence[IsAt] = ()
+        self, operations: Sequence[Put | Delete], conditions: Sequence[ExpectedRevision] = ()
     ) -> bool:
         """Apply all operations if all conditions hold; return whether they did."""
         for condition in conditions:
--- a/passpier/clients/web.py
+++ b/passpier/clients/web.py
@@ -37,7 +37,7 @@
     headers: tornado.httputil.HTTPHeaders
 
 
-class Answer(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """A complete response."""
 
     status: int
@@ -95,13 +95,13 @@
         self._buffered -= len(part)
         return part
 
-    async def read_all(self) -> Answer:
+    async def read_all(self) -> Response:
         """Read the complete response."""
         head = await self.read_head()
         body = bytearray()
         while (part := await self.read()) is not None:
             body += part
-        return Answer(head.status, head.headers, bytes(body))
+        return Response(head.status, head.headers, bytes(body))
 
     def abort(self) -> None:
         """Abort the exchange; curl notices it at its next progress callback."""
@@ -187,7 +187,7 @@
         headers: Mapping[str, str] | None = None,
         timeout: float = 5.0,
         reuse: bool = True,
-    ) -> Answer:
+    ) -> Response:
         """Return the complete response within `timeout` seconds."""
         exchange = self.open(method, url, body, headers, reuse)
         try:
--- a/passpier/clocks.py
+++ b/passpier/clocks.py
@@ -60,13 +60,13 @@
         return runner.run(work)
 
 
-class Suspensions:
+class SuspensionDetector:
     """Detects that the VM was suspended."""
 
     def __init__(self) -> None:
         self._lead = _measure_lead()
 
-    def find(self) -> float:
+    def poll(self) -> float:
         """Return the seconds for which the VM was suspended since the last call, or 0."""
         lead = _measure_lead()
         seconds = lead - self._lead
--- a/passpier/daemon/idempotency.py
+++ b/passpier/daemon/idempotency.py
@@ -240,7 +240,7 @@
         try:
             value = await self._store.get(key)
             if value is not None and _decode_claim(value).incarnation == self._incarnation:
-                condition = store_clients.IsAt(key, value.mod_revision)
+                condition = store_clients.ExpectedRevision(key, value.mod_revision)
                 await self._store.write([store_clients.Delete(key)], [condition])
         except exceptions.StoreError:
             log.info('claim not released')
@@ -258,7 +258,9 @@
             return ''
         # A release without a response may still take effect; rewriting the claim makes it fail.
         put = store_clients.Put(key, msgspec.json.encode(record), await self._get_lease())
-        renewed = await self._store.write([put], [store_clients.IsAt(key, value.mod_revision)])
+        renewed = await self._store.write(
+            [put], [store_clients.ExpectedRevision(key, value.mod_revision)]
+        )
         return self._incarnation if renewed else None
 
     async def _write(self, name: str, record: ClaimRecord) -> None:
@@ -290,7 +292,7 @@
             store_clients.Put(key, msgspec.json.encode(record), lease)
             for key, (_, record, _) in zip(keys, batch, strict=True)
         ]
-        if await self._store.write(puts, [store_clients.IsAt(key, 0) for key in keys]):
+        if await self._store.write(puts, [store_clients.ExpectedRevision(key, 0) for key in keys]):
             for _, _, future in batch:
                 future.set_result(None)
         elif len(batch) == 1:
--- a/passpier/daemon/storage.py
+++ b/passpier/daemon/storage.py
@@ -103,7 +103,9 @@
                 return number
             index = revisions.Index(base + 1, names, nonce, base)
             put = store_clients.Put(INDEX_KEY, msgspec.json.encode(index))
-            condition = store_clients.IsAt(INDEX_KEY, current.mod_revision if current else 0)
+            condition = store_clients.ExpectedRevision(
+                INDEX_KEY, current.mod_revision if current else 0
+            )
             try:
                 if await self.store.write([put], [condition]):
                     return revisions.Revision(index, chunks)
@@ -144,7 +146,7 @@
     async def write_epoch(self, record: EpochRecord, at: int) -> bool:
         """Write an epoch if none was written since store revision `at`."""
         put = store_clients.Put(EPOCH_KEY, msgspec.json.encode(record))
-        return await self.store.write([put], [store_clients.IsAt(EPOCH_KEY, at)])
+        return await self.store.write([put], [store_clients.ExpectedRevision(EPOCH_KEY, at)])
 
     async def acquire_placement(self, incarnation: str) -> int:
         """Return the fencing number if this daemon holds the placement lease, else 0."""
@@ -152,7 +154,7 @@
         if value is not None:
             return value.create_revision if value.data == incarnation.encode() else 0
         put = store_clients.Put(PLACEMENT_KEY, incarnation.encode(), self.lease)
-        await self.store.write([put], [store_clients.IsAt(PLACEMENT_KEY, 0)])
+        await self.store.write([put], [store_clients.ExpectedRevision(PLACEMENT_KEY, 0)])
         value = await self.store.get(PLACEMENT_KEY)
         if value is None or value.data != incarnation.encode():
             return 0
--- a/passpier/daemon/suspension_monitor.py
+++ b/passpier/daemon/suspension_monitor.py
@@ -21,10 +21,10 @@
     All ages and deadlines use a clock that counts the time of suspensions, so that state and leases
     have expired as they have for other daemons. Nothing has to be invalidated here.
     """
-    detector = clocks.Suspensions()
+    detector = clocks.SuspensionDetector()
     while True:
         await asyncio.sleep(CHECK_INTERVAL)
-        seconds = detector.find()
+        seconds = detector.poll()
         if seconds:
             log.warning('resumed', extra={'suspended_for': round(seconds, 3)})
             counters.suspended_seconds.add({}, seconds)
--- a/passpier/platform/dialect.py
+++ b/passpier/platform/dialect.py
@@ -50,8 +50,8 @@
             (name, value)
             for name, value in headers.get_all()
             if name.lower() not in names.CONNECTION_HEADERS
-            and name.lower() not in names.OURS_TO_SET
-            and name.lower() != names.LAST_EVENT.lower()
+            and name.lower() not in names.ROUTER_HEADERS
+            and name.lower() != names.LAST_EVENT_ID.lower()
         ]
         usage = _read_usage(headers)
         return dialect.ClientRequest(
@@ -62,7 +62,7 @@
             _read_key(headers),
             _read_deadline(headers),
             _read_prompt(headers, usage),
-            headers.get(names.LAST_EVENT, ''),
+            headers.get(names.LAST_EVENT_ID, ''),
             passed,
             sum(usage) if usage is not None else None,
         )
@@ -80,7 +80,7 @@
             names.SALT: sending.salt,
             names.CACHE_SOURCE: sending.source,
             names.CACHE_TARGET: sending.target,
-            names.LAST_EVENT: sending.last_event,
+            names.LAST_EVENT_ID: sending.last_event,
         }
         return [*ask.headers, *((n, v) for n, v in added.items() if v)]
 
@@ -88,12 +88,12 @@
         """Classify an upstream's response by its status and headers."""
         if head.status == 421:
             return dialect.Verdict.WRONG_UPSTREAM
-        if head.get(names.NOT_RUN) is not None:
+        if head.get(names.NOT_EXECUTED) is not None:
             return dialect.Verdict.NOT_RUN
         if head.get('Content-Encoding') is not None or head.status in _NOT_RUN_STATUSES:
             return dialect.Verdict.INVALID
         if 200 <= head.status < 300:
-            stamped = head.get(names.STAMP) is not None
+            stamped = head.get(names.SERVER_STAMP) is not None
             return dialect.Verdict.SUCCESS if stamped else dialect.Verdict.INVALID
         return dialect.Verdict.FAILURE
 
@@ -185,7 +185,7 @@
         self, address: str, since: int, wait: float
     ) -> dialect.CacheChanges:
         """Fetch a cache's events from number `since` on; raise `ExchangeError` if that fails."""
-        headers = [('Host', address), (names.WAIT, str(int(wait * 1000)))]
+        headers = [('Host', address), (names.WAIT_MS, str(int(wait * 1000)))]
         target = f'{names.CACHE_EVENTS_PATH}?since={since}'
         request = exchanges.Request('GET', target, headers)
         response = await self._pool.fetch(address, request, wait + dialect.ASK_TIMEOUT)
@@ -231,7 +231,7 @@
 }
 
 
-def _decode_response(response: exchanges.Answer, decode: Callable[[bytes], T]) -> T:
+def _decode_response(response: exchanges.Response, decode: Callable[[bytes], T]) -> T:
     """Decode the body of a replica's response; raise `ExchangeError` if it is not usable."""
     if response.head.status != 200:
         text = f'unexpected status {response.head.status}'
@@ -243,10 +243,14 @@
 
 
 def _read_key(headers: tornado.httputil.HTTPHeaders) -> str | None:
-    value = headers.get(names.KEY)
+    value = headers.get(names.AUTHORIZATION)
     if value is None:
         return None
-    return value[len(names.KEY_SCHEME) :] if value.startswith(names.KEY_SCHEME) else ''
+    return (
+        value[len(names.AUTHORIZATION_SCHEME) :]
+        if value.startswith(names.AUTHORIZATION_SCHEME)
+        else ''
+    )
 
 
 def _read_deadline(headers: tornado.httputil.HTTPHeaders) -> float | None:
@@ -262,7 +266,7 @@
 def _read_signal(head: exchanges.Head) -> backpressure.Signal:
     leaving = (head.get(names.LEAVING) or '').strip() == '1'
     backoff = _read_amount(head, 'Retry-After') if head.status == 503 else None
-    return backpressure.Signal(_read_amount(head, names.LIMIT), leaving, backoff or None)
+    return backpressure.Signal(_read_amount(head, names.RATE_LIMIT), leaving, backoff or None)
 
 
 def _read_amount(head: exchanges.Head, name: str) -> float | None:
@@ -282,7 +286,7 @@
 
 def _read_usage(headers: tornado.httputil.HTTPHeaders) -> tuple[int, int] | None:
     """Return the prompt tokens and the maximum completion tokens, if the client declares them."""
-    value = headers.get(names.TOKENS)
+    value = headers.get(names.TOKEN_USAGE)
     if value is None:
         return None
     prompt_tokens, _, completion_tokens = value.partition(',')
@@ -299,7 +303,7 @@
     if model is None:
         return None
     parts = []
-    for item in filter(None, headers.get(names.PARTS, '').split(',')):
+    for item in filter(None, headers.get(names.PREFIX_HASHES, '').split(',')):
         name, _, tokens = item.strip().partition(':')
         parts.append(prompts.Part(name, int(tokens)))
     return prompts.Prompt(model, tuple(parts), usage[1] if usage is not None else 0)
--- a/passpier/platform/names.py
+++ b/passpier/platform/names.py
@@ -9,13 +9,13 @@
 """Milliseconds for which the client still waits for the response."""
 
 MODEL = 'X-Passpier-Model'
-TOKENS = 'X-Passpier-Token-Usage'
+TOKEN_USAGE = 'X-Passpier-Token-Usage'
 """Prompt tokens and maximum completion tokens, separated by a comma."""
 
-PARTS = 'X-Passpier-Prefix-Hash'
+PREFIX_HASHES = 'X-Passpier-Prefix-Hash'
 """Segments of the prompt in order: a comma-separated list of `ID:TOKENS`."""
 
-LAST_EVENT = 'Last-Event-Id'
+LAST_EVENT_ID = 'Last-Event-Id'
 ACCOUNT = 'X-Passpier-Tenant'
 EXPECT_INCARNATION = 'X-Passpier-Expect-Instance'
 INCARNATION = 'X-Passpier-Instance-Id'
@@ -24,21 +24,21 @@
 SALT = 'X-Passpier-Cache-Salt'
 CACHE_SOURCE = 'X-Passpier-Kv-Source'
 CACHE_TARGET = 'X-Passpier-Kv-Target'
-STAMP = 'X-Passpier-Server-Stamp'
+SERVER_STAMP = 'X-Passpier-Server-Stamp'
 """Signature of the upstream that produced the response."""
 
-NOT_RUN = 'X-Passpier-Not-Executed'
+NOT_EXECUTED = 'X-Passpier-Not-Executed'
 LEAVING = 'Server-Leaving'
 """`1` in every response of a replica that is about to shut down."""
 
-LIMIT = 'Server-Limit'
+RATE_LIMIT = 'Server-Limit'
 """Requests per second that a replica accepts from all VMs together."""
 
 WEIGHT_VERSION = 'X-Passpier-Weight-Versions'
-KEY = 'Authorization'
-KEY_SCHEME = 'Token '
+AUTHORIZATION = 'Authorization'
+AUTHORIZATION_SCHEME = 'Token '
 
-OURS_TO_SET = frozenset(
+ROUTER_HEADERS = frozenset(
     name.lower()
     for name in (
         ACCOUNT,
@@ -52,7 +52,7 @@
         'X-Passpier-Kv-Hold',
         'X-Passpier-Kv-Backup',
         'Kv-From',
-        KEY,
+        AUTHORIZATION,
         DEADLINE,
     )
 )
@@ -79,7 +79,7 @@
 READY_PATH = '/readyz'
 REPORT_PATH = '/report'
 CACHE_EVENTS_PATH = '/kv-events'
-WAIT = 'Wait-Ms'
+WAIT_MS = 'Wait-Ms'
 ORDER_PATH = '/order'
 
 CONFIGURATION_KEY = 'op/config'
--- a/passpier/platform/store.py
+++ b/passpier/platform/store.py
@@ -56,7 +56,7 @@
         self.address = address
         self._pool = pool
 
-    async def read(self, prefix: str) -> registry.Reading:
+    async def read(self, prefix: str) -> registry.Listing:
         """Return all items under a prefix, page by page."""
         sent_at = clocks.now()
         items: dict[str, registry.Item] = {}
@@ -73,7 +73,7 @@
             for item in page.items:
                 items[item.private_key] = _convert(item)
             if not page.truncated or not page.items:
-                return registry.Reading(tuple(items.values()), revision, sent_at)
+                return registry.Listing(tuple(items.values()), revision, sent_at)
             after = page.items[-1].private_key
 
     async def watch(self, prefix: str, after: int, wait: float) -> registry.Changes:
@@ -86,7 +86,7 @@
         return registry.Changes(items, watched.store_revision, sent_at, clocks.now())
 
     async def write(
-        self, puts: Sequence[registry.Put], conditions: Sequence[registry.IsAt] = ()
+        self, puts: Sequence[registry.Put], conditions: Sequence[registry.ExpectedRevision] = ()
     ) -> int:
         """Apply all writes in one transaction and return its revision."""
         body = _render_transaction(puts, conditions)
@@ -128,16 +128,16 @@
             return response.body
         text = f'{method} {path}: status {status}'
         if status == 410:
-            raise registry.HistoryGoneError(text)
+            raise registry.CompactedError(text)
         if status == 412:
             raise exceptions.ConflictError(text)
         if status == 404:
-            raise registry.LeaseGoneError(text)
+            raise registry.LeaseExpiredError(text)
         raise exceptions.StoreError(text)
 
 
 def _render_transaction(
-    puts: Sequence[registry.Put], conditions: Sequence[registry.IsAt]
+    puts: Sequence[registry.Put], conditions: Sequence[registry.ExpectedRevision]
 ) -> dict[str, Any]:
     return {
         'expected_revision': [{'private_key': c.key, 'revision': c.revision} for c in conditions],
--- a/passpier/routing/crash_records.py
+++ b/passpier/routing/crash_records.py
@@ -99,7 +99,9 @@
             return False
         try:
             lease = await self._source.grant(LEASE)
-            await self._source.write([registry.Put(key, b'', lease)], [registry.IsAt(key, 0)])
+            await self._source.write(
+                [registry.Put(key, b'', lease)], [registry.ExpectedRevision(key, 0)]
+            )
         except (exceptions.StoreError, exceptions.ConflictError) as error:
             fields = {'fingerprint': name, 'error': str(error)}
             log.info('trial of a suspect request not granted', extra=fields)
--- a/passpier/routing/delivering.py
+++ b/passpier/routing/delivering.py
@@ -38,7 +38,7 @@
         self.final = True
         await self._send(self._finish_stream(head))
 
-    async def send_response(self, response: exchanges.Answer) -> None:
+    async def send_response(self, response: exchanges.Response) -> None:
         """Send an upstream's complete response."""
         self.final = True
         headers = self._wire.filter_headers(response.head.headers)
--- a/passpier/routing/forwarding.py
+++ b/passpier/routing/forwarding.py
@@ -471,7 +471,7 @@
             and self._owner.dispatcher.can_place_now(self._call, {*self._excluded, self.upstream})
         )
 
-    async def _send_response(self, response: exchanges.Answer) -> None:
+    async def _send_response(self, response: exchanges.Response) -> None:
         """Send an upstream's complete response to the client."""
         self._call.progress.completed = True
         await self._delivery.send_response(response)
--- a/passpier/routing/registry_follower.py
+++ b/passpier/routing/registry_follower.py
@@ -64,7 +64,7 @@
                 continue
             try:
                 await self._step()
-            except registry.HistoryGoneError as error:
+            except registry.CompactedError as error:
                 log.warning(
                     'registry history compacted, reading everything again',
                     extra={'error': str(error)},
--- a/passpier/routing/registry_mirror.py
+++ b/passpier/routing/registry_mirror.py
@@ -58,7 +58,7 @@
         """Items written by router processes, by key."""
         return self._members
 
-    def apply_listing(self, listing: registry.Reading, now: float) -> None:
+    def apply_listing(self, listing: registry.Listing, now: float) -> None:
         """Apply a full listing of the registry."""
         self._apply_all(listing.items, listing.revision, now)
         self.freshness.prove(listing.sent_at)
@@ -66,7 +66,7 @@
     def apply_watch(self, changes: registry.Changes, wait: float, now: float) -> None:
         """Apply the result of a watch."""
         self._apply_changed(changes.items, changes.revision, now)
-        self.freshness.prove_by_watch(changes.sent_at, wait, changes.answered_at, not changes.items)
+        self.freshness.prove_by_watch(changes.sent_at, wait, changes.received_at, not changes.items)
 
     def apply_freshness(self, revision: int, proved_at: float) -> bool:
         """Apply a peer's time of freshness; return whether it is valid here.
--- a/passpier/routing/response_reader.py
+++ b/passpier/routing/response_reader.py
@@ -31,7 +31,7 @@
         self,
         fault: attempts.Fault,
         message: str,
-        passed: exchanges.Answer | None = None,
+        passed: exchanges.Response | None = None,
         broken_off: bool = False,
     ) -> None:
         super().__init__(message)
@@ -75,7 +75,7 @@
         """Return the next part of the body, or none at its end; raises `AttemptError`."""
         return await self._read_while_alive(self._exchange.read, wait, attempts.Fault.INTERRUPTED)
 
-    async def read_whole(self) -> exchanges.Answer:
+    async def read_whole(self) -> exchanges.Response:
         """Return the complete response, before the client's deadline."""
         whole = asyncio.ensure_future(self._exchange.read_all(WHOLE_MAX))
         try:
@@ -112,13 +112,13 @@
                     raise AttemptError(fault, text, broken_off=True) from error
                 if self._prober.is_unresponsive(self._process.id):
                     raise AttemptError(fault, 'the replica gives no sign of life') from error
-                if not self._exchange.is_silent:
+                if not self._exchange.has_unacked_data:
                     self._prober.probe(self._process)
                     continue
                 if marked and self._repeatable:
                     raise AttemptError(fault, 'the connection has fallen silent') from error
                 marked = True
-                self._exchange.note_silent()
+                self._exchange.note_unresponsive()
                 # The probe uses a new connection, and is sent even if the replica responded on
                 # another one.
                 self._prober.probe(self._process, 0.0)
--- a/passpier/routing/rollouts.py
+++ b/passpier/routing/rollouts.py
@@ -140,8 +140,8 @@
         name = self._name.encode()
         puts = [registry.Put(self._key, name, lease), registry.Put(self._last_key, name)]
         conditions = [
-            registry.IsAt(self._key, 0),
-            registry.IsAt(self._last_key, previous.revision if previous else 0),
+            registry.ExpectedRevision(self._key, 0),
+            registry.ExpectedRevision(self._last_key, previous.revision if previous else 0),
         ]
         try:
             token = await self._source.write(puts, conditions)
@@ -181,7 +181,7 @@
         sent_at = clocks.now()
         try:
             await self._source.renew(lease)
-        except registry.LeaseGoneError:
+        except registry.LeaseExpiredError:
             if lease == self._lease:
                 self._drop_lease('the lease lapsed')
         except exceptions.StoreError as error:
--- a/passpier/routing/roster.py
+++ b/passpier/routing/roster.py
@@ -76,7 +76,7 @@
         while not self._departed:
             try:
                 await self._register(source)
-            except registry.LeaseGoneError:
+            except registry.LeaseExpiredError:
                 log.warning('own entry expired')
                 self._lease = 0
                 continue
--- a/passpier/routing/router.py
+++ b/passpier/routing/router.py
@@ -120,7 +120,7 @@
         self.registry_state = registry_mirror.RegistryState(
             adapter.records, self.pools, options.key_bound
         )
-        self.pools.on_process_ended = lambda replica: adapter.pool.close_resting(replica.address)
+        self.pools.on_process_ended = lambda replica: adapter.pool.close_idle(replica.address)
         self.registry_state.on_refused = lambda kind: self.counters.refused_records.inc(
             {'kind': kind}
         )
@@ -453,5 +453,5 @@
     sockets = tornado.netutil.bind_sockets(int(port), host, backlog=BACKLOG)
     for listening in sockets:
         # An unresponsive client must not keep a replica busy with a stream.
-        connections.guard(listening)
+        connections.configure_keepalive(listening)
     server.add_sockets(sockets)
--- a/passpier/standins/platform/deployment.py
+++ b/passpier/standins/platform/deployment.py
@@ -249,8 +249,8 @@
                 observed.status, observed.body = answer.head.status, answer.body
         except (TimeoutError, exchanges.ExchangeError) as error:
             observed.error = str(error) or 'timed out'
-            if exchange is not None and not exchange.heard:
-                exchange.note_silent()
+            if exchange is not None and not exchange.received_any:
+                exchange.note_unresponsive()
         finally:
             if exchange is not None:
                 exchange.close()
@@ -286,7 +286,7 @@
     """Return the headers of every client request."""
     headers = [('Host', host), (names.REQUEST_ID, id), (names.DEADLINE, str(patience_ms))]
     if key is not None:
-        headers.append((names.KEY, names.KEY_SCHEME + key))
+        headers.append((names.AUTHORIZATION, names.AUTHORIZATION_SCHEME + key))
     return headers
 
 
@@ -308,7 +308,7 @@
     """Return the headers of a prompt that shares a random prefix and has a unique last part."""
     subject = rng.randrange(PROMPT_SUBJECTS)
     parts = f'aa:800,b{subject}:400,c{rng.getrandbits(32):x}:200'
-    return [(names.MODEL, MODEL), (names.TOKENS, '1400,20'), (names.PARTS, parts)]
+    return [(names.MODEL, MODEL), (names.TOKEN_USAGE, '1400,20'), (names.PREFIX_HASHES, parts)]
 
 
 def build_configuration() -> dict[str, Any]:
--- a/passpier/standins/platform/replica.py
+++ b/passpier/standins/platform/replica.py
@@ -314,7 +314,7 @@
     def _add_signals(self) -> None:
         faults = self.replica.faults
         if faults.limit is not None:
-            self.set_header(names.LIMIT, str(faults.limit))
+            self.set_header(names.RATE_LIMIT, str(faults.limit))
         if faults.leaves:
             self.set_header(names.LEAVING, '1')
         backoff = float(self._headers.get('Retry-After', 0.0))
@@ -435,17 +435,17 @@
             return
         if replica.faults.late_refusal:
             await self.pause(replica.faults.late_refusal)
-            self.set_header(names.NOT_RUN, '1')
+            self.set_header(names.NOT_EXECUTED, '1')
             self.set_status(503)
             return
         if replica.faults.backoff:
-            self.set_header(names.NOT_RUN, '1')
+            self.set_header(names.NOT_EXECUTED, '1')
             self.set_header('Retry-After', str(replica.faults.backoff))
             self.set_status(503)
             return
         full = replica.active >= replica.slots or replica.loading
         if full or self.take_fault('refuse'):
-            self.set_header(names.NOT_RUN, '1')
+            self.set_header(names.NOT_EXECUTED, '1')
             self.set_status(503)
             return
         await self._run()
@@ -462,7 +462,7 @@
                 headers.get(names.ACCOUNT, ''),
                 headers.get(names.SALT, ''),
                 replica.version,
-                headers.get(names.LAST_EVENT, ''),
+                headers.get(names.LAST_EVENT_ID, ''),
                 int(headers[names.DEADLINE]),
                 clocks.now(),
             )
@@ -504,7 +504,7 @@
         if self.take_fault('lie'):
             self.set_status(503)
             return
-        self.set_header(names.STAMP, f'{self.replica.id}.{id}')
+        self.set_header(names.SERVER_STAMP, f'{self.replica.id}.{id}')
         if self.take_fault('swap'):
             self.set_header(names.REQUEST_ID, 'of-somebody-else')
         if self.take_fault('fail'):
@@ -521,8 +521,8 @@
         self.set_header('Content-Type', 'text/event-stream')
         self.set_header(names.WEIGHT_VERSION, str(self.replica.version))
         salt = self.request.headers.get(names.SALT, '')
-        self.replica.cache_prompt(salt, self.request.headers.get(names.PARTS, ''))
-        first = int(self.request.headers.get(names.LAST_EVENT) or -1) + 1
+        self.replica.cache_prompt(salt, self.request.headers.get(names.PREFIX_HASHES, ''))
+        first = int(self.request.headers.get(names.LAST_EVENT_ID) or -1) + 1
         cut = self.take_fault('cut')
         pause = self.replica.event_pause + self._extra_seconds / self.replica.events
         for number in range(first, self.replica.events):
--- a/passpier/tests/broken.py
+++ b/passpier/tests/broken.py
@@ -12,7 +12,7 @@
 SEEDS = range(1, 11)
 
 
-def check_caught(machine: type[stateful.RuleBasedStateMachine], steps: int = 30) -> None:
+def check_detects_fault(machine: type[stateful.RuleBasedStateMachine], steps: int = 30) -> None:
     """Run a broken state machine with fixed seeds; at least one of them must detect the fault."""
     settings = hypothesis.settings(
         max_examples=150,
--- a/passpier/tests/clocks_tests.py
+++ b/passpier/tests/clocks_tests.py
@@ -41,13 +41,13 @@
 
 def test_each_suspension_is_detected_once(monkeypatch: pytest.MonkeyPatch) -> None:
     suspended = suspension.Suspension(monkeypatch.setattr)
-    detector = clocks.Suspensions()
-    assert not detector.find()
+    detector = clocks.SuspensionDetector()
+    assert not detector.poll()
     suspended.happen(0.3)
-    assert detector.find() == pytest.approx(0.3, abs=0.05)
-    assert not detector.find()
+    assert detector.poll() == pytest.approx(0.3, abs=0.05)
+    assert not detector.poll()
     suspended.happen(20.0)
-    assert detector.find() == pytest.approx(20.0, abs=0.05)
+    assert detector.poll() == pytest.approx(20.0, abs=0.05)
 
 
 def test_timers_due_after_a_suspension_run_in_the_next_loop_iteration(
--- a/passpier/tests/core/claims_tests.py
+++ b/passpier/tests/core/claims_tests.py
@@ -85,7 +85,7 @@
 
 
 def test_broken_variant_is_caught() -> None:
-    broken.check_caught(BrokenMachine)
+    broken.check_detects_fault(BrokenMachine)
 
 
 def test_running_keys_are_joined_and_responses_repeated() -> None:
--- a/passpier/tests/core/isolation_tests.py
+++ b/passpier/tests/core/isolation_tests.py
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize('machine', [SharedRootMachine, StaleMachine])
 def test_broken_variants_are_caught(machine: type[IsolationMachine]) -> None:
-    broken.check_caught(machine)
+    broken.check_detects_fault(machine)
 
 
 def test_events_without_account_or_known_parent_are_ignored() -> None:
--- a/passpier/tests/core/shares_tests.py
+++ b/passpier/tests/core/shares_tests.py
@@ -159,7 +159,7 @@
 
 
 def test_broken_variant_is_caught() -> None:
-    broken.check_caught(EarlyMachine)
+    broken.check_detects_fault(EarlyMachine)
 
 
 def join_under_load(machine: ShareMachine) -> None:
--- a/passpier/tests/daemon/cuts_tests.py
+++ b/passpier/tests/daemon/cuts_tests.py
@@ -87,7 +87,9 @@
         return await self._platform.values.get(key)
 
     async def write(
-        self, operations: Sequence[store.Put | store.Delete], conditions: Sequence[store.IsAt] = ()
+        self,
+        operations: Sequence[store.Put | store.Delete],
+        conditions: Sequence[store.ExpectedRevision] = (),
     ) -> bool:
         await self._simulate_call()
         done = await self._platform.values.write(operations, conditions)
--- a/passpier/tests/daemon/once_tests.py
+++ b/passpier/tests/daemon/once_tests.py
@@ -331,7 +331,9 @@
     """Does not answer deletions, and applies them later."""
 
     async def write(
-        self, operations: Sequence[store.Put | store.Delete], conditions: Sequence[store.IsAt] = ()
+        self,
+        operations: Sequence[store.Put | store.Delete],
+        conditions: Sequence[store.ExpectedRevision] = (),
     ) -> bool:
         if not isinstance(operations[0], store.Delete):
             return await super().write(operations, conditions)
--- a/passpier/tests/daemon/storage_tests.py
+++ b/passpier/tests/daemon/storage_tests.py
@@ -41,7 +41,9 @@
         self.nonces: dict[int, str] = {}
 
     async def write(
-        self, operations: Sequence[store.Put | store.Delete], conditions: Sequence[store.IsAt] = ()
+        self,
+        operations: Sequence[store.Put | store.Delete],
+        conditions: Sequence[store.ExpectedRevision] = (),
     ) -> bool:
         try:
             return await super().write(operations, conditions)
--- a/passpier/tests/daemon/suspects_tests.py
+++ b/passpier/tests/daemon/suspects_tests.py
@@ -130,7 +130,7 @@
         return 1
 
     async def write(
-        self, puts: Sequence[registry.Put], conditions: Sequence[registry.IsAt] = ()
+        self, puts: Sequence[registry.Put], conditions: Sequence[registry.ExpectedRevision] = ()
     ) -> int:
         await asyncio.sleep(0.01)
         if any(c.key in self.items for c in conditions):
--- a/passpier/tests/fakes.py
+++ b/passpier/tests/fakes.py
@@ -31,7 +31,9 @@
         return await super().read(prefix)
 
     async def write(
-        self, operations: Sequence[store.Put | store.Delete], conditions: Sequence[store.IsAt] = ()
+        self,
+        operations: Sequence[store.Put | store.Delete],
+        conditions: Sequence[store.ExpectedRevision] = (),
     ) -> bool:
         """Write; the request or the response may be lost, and a failed write may apply late."""
         await self._simulate_delay_and_loss()
@@ -46,7 +48,9 @@
         return done
 
     def _write_late(
-        self, operations: Sequence[store.Put | store.Delete], conditions: Sequence[store.IsAt]
+        self,
+        operations: Sequence[store.Put | store.Delete],
+        conditions: Sequence[store.ExpectedRevision],
     ) -> None:
         asyncio.ensure_future(super().write(operations, conditions))
 
--- a/passpier/tests/platform/accepting_tests.py
+++ b/passpier/tests/platform/accepting_tests.py
@@ -7,7 +7,7 @@
 import socket
 
 from passpier.standins.platform import deployment
-from passpier.tests.platform import harness, leaving_tests
+from passpier.tests.platform import client_disconnects_tests, harness
 
 CLIENTS = 600
 """Clients that connect while the event loop is busy, as after a failure domain has lost power."""
@@ -36,13 +36,13 @@
         clients = running.routers[0].ingress.clients
         clients.max_open = MAX_CONNECTIONS
         harness.set_processing_time(running, 1.0)
-        busy = leaving_tests.connect(running)
+        busy = client_disconnects_tests.connect(running)
         busy.setblocking(False)
-        busy.sendall(leaving_tests.render('/safe/x', 'one'))
+        busy.sendall(client_disconnects_tests.render('/safe/x', 'one'))
         await harness.wait_for(lambda: bool(running.list_runs('one')))
         with contextlib.ExitStack() as stack:
             idle = [
-                stack.enter_context(leaving_tests.connect(running))
+                stack.enter_context(client_disconnects_tests.connect(running))
                 for _ in range(2 * MAX_CONNECTIONS)
             ]
             await harness.wait_for(lambda: len(clients) == MAX_CONNECTIONS)
@@ -61,16 +61,16 @@
         clients = running.routers[0].ingress.clients
         clients.max_open = MAX_CONNECTIONS
         for _ in range(4 * MAX_CONNECTIONS):
-            client = leaving_tests.connect(running)
+            client = client_disconnects_tests.connect(running)
             await asyncio.sleep(0.002)
             client.close()
-        kept = leaving_tests.connect(running)
+        kept = client_disconnects_tests.connect(running)
         kept.setblocking(False)
         await asyncio.sleep(0.05)
         for _ in range(MAX_CONNECTIONS // 2):
-            leaving_tests.connect(running).close()
+            client_disconnects_tests.connect(running).close()
         await asyncio.sleep(0.05)
-        kept.sendall(leaving_tests.render('/open/x', 'one'))
+        kept.sendall(client_disconnects_tests.render('/open/x', 'one'))
         assert b'200 OK' in await asyncio.get_running_loop().sock_recv(kept, 1000)
 
     harness.run_check(check)
@@ -83,11 +83,11 @@
         clients = running.routers[0].ingress.clients
         clients.max_open = 2
         with contextlib.ExitStack() as stack:
-            first = stack.enter_context(leaving_tests.connect(running))
-            stack.enter_context(leaving_tests.connect(running))
+            first = stack.enter_context(client_disconnects_tests.connect(running))
+            stack.enter_context(client_disconnects_tests.connect(running))
             await harness.wait_for(lambda: len(clients) == clients.max_open)
-            stack.enter_context(leaving_tests.connect(running))
-            first.sendall(leaving_tests.render('/safe/x', 'one'))
+            stack.enter_context(client_disconnects_tests.connect(running))
+            first.sendall(client_disconnects_tests.render('/safe/x', 'one'))
             first.setblocking(False)
             received = await asyncio.get_running_loop().sock_recv(first, 1000)
         assert b'200 OK' in received
--- a/passpier/tests/platform/backpressure_tests.py
+++ b/passpier/tests/platform/backpressure_tests.py
@@ -24,12 +24,12 @@
 
 @pytest.mark.parametrize(('text', 'limit'), [('1.7', 1.7), ('4', 4.0), ('0', 0.0), (' 2.5 ', 2.5)])
 def test_limits_are_decimal_numbers(text: str, limit: float) -> None:
-    assert read_signal((names.LIMIT, text)).limit == limit
+    assert read_signal((names.RATE_LIMIT, text)).limit == limit
 
 
 @pytest.mark.parametrize('text', ['', 'many', '-1', 'nan', 'inf', '1e999', '3;q=1'])
 def test_invalid_limits_are_ignored(text: str) -> None:
-    assert read_signal((names.LIMIT, text)) == backpressure.NO_SIGNAL
+    assert read_signal((names.RATE_LIMIT, text)) == backpressure.NO_SIGNAL
 
 
 @pytest.mark.parametrize(('text', 'leaving'), [('1', True), ('0', False), ('', False)])
--- a/passpier/tests/platform/leaving_tests.py
+++ b/passpier/tests/platform/client_disconnects_tests.py
@@ -300,7 +300,7 @@
     harness.run_check(check)
 
 
-def test_hundreds_may_leave_at_once() -> None:
+def test_hundreds_of_clients_can_disconnect_at_once() -> None:
     async def check(running: deployment.Deployment) -> None:
         # All requests are still in their first attempt when the last one arrives, even if that
         # takes long.
--- a/passpier/tests/platform/fleet_tests.py
+++ b/passpier/tests/platform/fleet_tests.py
@@ -17,8 +17,8 @@
 Check = Callable[[deployment.Deployment], Awaitable[None]]
 PROMPT_HEADERS = [
     (names.MODEL, deployment.MODEL),
-    (names.TOKENS, '1460,80'),
-    (names.PARTS, '5c1e07a2:800,e4402b7d:250'),
+    (names.TOKEN_USAGE, '1460,80'),
+    (names.PREFIX_HASHES, '5c1e07a2:800,e4402b7d:250'),
 ]
 
 
--- a/passpier/tests/platform/harness.py
+++ b/passpier/tests/platform/harness.py
@@ -15,8 +15,8 @@
 
 PROMPT_HEADERS = [
     (names.MODEL, deployment.MODEL),
-    (names.TOKENS, '1460,80'),
-    (names.PARTS, '5c1e07a2:800,91bd3f06:410,e4402b7d:250'),
+    (names.TOKEN_USAGE, '1460,80'),
+    (names.PREFIX_HASHES, '5c1e07a2:800,91bd3f06:410,e4402b7d:250'),
 ]
 TEST_TIMEOUT = 30
 """Timeout of a test in seconds."""
--- a/passpier/tests/platform/input_tests.py
+++ b/passpier/tests/platform/input_tests.py
@@ -16,7 +16,7 @@
         'POST /safe/x HTTP/1.1',
         f'Host: {deployment.HOST}',
         f'{names.REQUEST_ID}: {id}',
-        f'{names.KEY}: {names.KEY_SCHEME}{deployment.KEY}',
+        f'{names.AUTHORIZATION}: {names.AUTHORIZATION_SCHEME}{deployment.KEY}',
         f'{names.DEADLINE}: 1000',
         *lines,
     ]
@@ -93,8 +93,8 @@
     'lines',
     [
         (f'{names.DEADLINE}: soon',),
-        (f'{names.MODEL}: m', f'{names.PARTS}: aa:many'),
-        (f'{names.MODEL}: m', f'{names.TOKENS}: 5,x'),
+        (f'{names.MODEL}: m', f'{names.PREFIX_HASHES}: aa:many'),
+        (f'{names.MODEL}: m', f'{names.TOKEN_USAGE}: 5,x'),
     ],
 )
 def test_invalid_headers_get_status_400(lines: tuple[str, ...]) -> None:
--- a/passpier/tests/platform/layout_tests.py
+++ b/passpier/tests/platform/layout_tests.py
@@ -9,7 +9,13 @@
 
 ROOT = pathlib.Path(passpier.__file__).parent
 ALLOWED = ('platform', 'standins/platform', 'tests/platform')
-COMMON = {names.READY_PATH, names.REPORT_PATH, names.LAST_EVENT, names.KEY, names.OWN_PREFIX}
+COMMON = {
+    names.READY_PATH,
+    names.REPORT_PATH,
+    names.LAST_EVENT_ID,
+    names.AUTHORIZATION,
+    names.OWN_PREFIX,
+}
 """Names that are in general use, or that belong to passpier itself."""
 
 FIELDS = {
--- a/passpier/tests/platform/limits_tests.py
+++ b/passpier/tests/platform/limits_tests.py
@@ -19,7 +19,11 @@
 COST = 1_420
 """Tokens of one prompt and its completion, as declared in the header."""
 
-PROMPT = [(names.MODEL, deployment.MODEL), (names.TOKENS, '1400,20'), (names.PARTS, 'aa:1400')]
+PROMPT = [
+    (names.MODEL, deployment.MODEL),
+    (names.TOKEN_USAGE, '1400,20'),
+    (names.PREFIX_HASHES, 'aa:1400'),
+]
 
 
 def set_rate(running: deployment.Deployment, rate: float = RATE, **more: object) -> None:
--- a/passpier/tests/platform/records_tests.py
+++ b/passpier/tests/platform/records_tests.py
@@ -13,21 +13,23 @@
 from passpier import exceptions
 from passpier.platform import names, records
 from passpier.routing import registry_mirror
-from passpier.tests.platform import lives_tests
+from passpier.tests.platform import replica_restarts_tests
 
-ID = lives_tests.ID
+ID = replica_restarts_tests.ID
 OTHER = 'i-2'
 
 INVALID: dict[str, bytes | dict[str, Any]] = {
     'no bytes': b'',
     'not JSON': b'\xff\xfe{',
-    'not UTF-8': json.dumps(lives_tests.make_entry(zone='#')).encode().replace(b'#', b'\xff'),
+    'not UTF-8': json.dumps(replica_restarts_tests.make_entry(zone='#'))
+    .encode()
+    .replace(b'#', b'\xff'),
     'nested too deeply': b'[' * 5000,
     'another shape': b'[1,2]',
     'nothing': b'{}',
-    'half': json.dumps(lives_tests.make_entry()).encode()[:60],
+    'half': json.dumps(replica_restarts_tests.make_entry()).encode()[:60],
     **{
-        f'no {field}': lives_tests.make_entry(1, **{field: None})
+        f'no {field}': replica_restarts_tests.make_entry(1, **{field: None})
         for field in (
             'service',
             'address',
@@ -39,50 +41,54 @@
             'cold_remaining_ms',
         )
     },
-    'service of another type': lives_tests.make_entry(service=7),
-    'no service': lives_tests.make_entry(service=''),
-    'address of another type': lives_tests.make_entry(address=['10.0.0.1', 8080]),
-    'empty address': lives_tests.make_entry(address=''),
-    'address without a port': lives_tests.make_entry(address='10.0.0.1'),
-    'port 0': lives_tests.make_entry(address='10.0.0.1:0'),
-    'port too high': lives_tests.make_entry(address='10.0.0.1:70000'),
-    'signed port': lives_tests.make_entry(address='10.0.0.1:+80'),
-    'address that is no number': lives_tests.make_entry(address='replica:80'),
-    'address of everybody': lives_tests.make_entry(address='0.0.0.0:80'),
-    'unknown state': lives_tests.make_entry(state='sleepy'),
-    'state of another type': lives_tests.make_entry(state=1),
-    'no slots': lives_tests.make_entry(slots=0),
-    'negative slots': lives_tests.make_entry(slots=-4),
-    'huge slots': lives_tests.make_entry(slots=10**12),
-    'slots as a fraction': lives_tests.make_entry(slots=8.0),
-    'slots as text': lives_tests.make_entry(slots='8'),
-    'slots as a truth value': lives_tests.make_entry(slots=True),
-    'models of another type': lives_tests.make_entry(models='m1'),
-    'models as a table': lives_tests.make_entry(models={'m1': 3}),
-    'version of weights as text': lives_tests.make_entry(models=[{'name': 'm1', 'version': '3'}]),
-    'negative version of weights': lives_tests.make_entry(models=[{'name': 'm1', 'version': -1}]),
-    'slow start as text': lives_tests.make_entry(cold_remaining_ms='0'),
-    'start as a fraction': lives_tests.make_entry(born=1000.5),
-    'start as text': lives_tests.make_entry(born='1000'),
-    'negative start': lives_tests.make_entry(born=-5),
-    'start beyond all time': lives_tests.make_entry(born=10**30),
+    'service of another type': replica_restarts_tests.make_entry(service=7),
+    'no service': replica_restarts_tests.make_entry(service=''),
+    'address of another type': replica_restarts_tests.make_entry(address=['10.0.0.1', 8080]),
+    'empty address': replica_restarts_tests.make_entry(address=''),
+    'address without a port': replica_restarts_tests.make_entry(address='10.0.0.1'),
+    'port 0': replica_restarts_tests.make_entry(address='10.0.0.1:0'),
+    'port too high': replica_restarts_tests.make_entry(address='10.0.0.1:70000'),
+    'signed port': replica_restarts_tests.make_entry(address='10.0.0.1:+80'),
+    'address that is no number': replica_restarts_tests.make_entry(address='replica:80'),
+    'address of everybody': replica_restarts_tests.make_entry(address='0.0.0.0:80'),
+    'unknown state': replica_restarts_tests.make_entry(state='sleepy'),
+    'state of another type': replica_restarts_tests.make_entry(state=1),
+    'no slots': replica_restarts_tests.make_entry(slots=0),
+    'negative slots': replica_restarts_tests.make_entry(slots=-4),
+    'huge slots': replica_restarts_tests.make_entry(slots=10**12),
+    'slots as a fraction': replica_restarts_tests.make_entry(slots=8.0),
+    'slots as text': replica_restarts_tests.make_entry(slots='8'),
+    'slots as a truth value': replica_restarts_tests.make_entry(slots=True),
+    'models of another type': replica_restarts_tests.make_entry(models='m1'),
+    'models as a table': replica_restarts_tests.make_entry(models={'m1': 3}),
+    'version of weights as text': replica_restarts_tests.make_entry(
+        models=[{'name': 'm1', 'version': '3'}]
+    ),
+    'negative version of weights': replica_restarts_tests.make_entry(
+        models=[{'name': 'm1', 'version': -1}]
+    ),
+    'slow start as text': replica_restarts_tests.make_entry(cold_remaining_ms='0'),
+    'start as a fraction': replica_restarts_tests.make_entry(born=1000.5),
+    'start as text': replica_restarts_tests.make_entry(born='1000'),
+    'negative start': replica_restarts_tests.make_entry(born=-5),
+    'start beyond all time': replica_restarts_tests.make_entry(born=10**30),
 }
 
 
-def build_store() -> lives_tests.RegistryWriter:
-    store = lives_tests.RegistryWriter()
+def build_store() -> replica_restarts_tests.RegistryWriter:
+    store = replica_restarts_tests.RegistryWriter()
     store.record(ID, weights=3)
     store.record(OTHER, weights=3, address='10.0.0.2:8080')
     return store
 
 
 @pytest.fixture(name='store')
-def make_store() -> lives_tests.RegistryWriter:
+def make_store() -> replica_restarts_tests.RegistryWriter:
     return build_store()
 
 
 @pytest.mark.parametrize('name', INVALID)
-def test_invalid_entry_is_not_used(store: lives_tests.RegistryWriter, name: str) -> None:
+def test_invalid_entry_is_not_used(store: replica_restarts_tests.RegistryWriter, name: str) -> None:
     """Guards against using the previous entry of the key, or defaults for invalid fields."""
     store.put(names.REPLICA_PREFIX + ID, INVALID[name])
     assert store.list_used() == {OTHER}
@@ -91,7 +97,7 @@
 
 @pytest.mark.parametrize('name', INVALID)
 def test_invalid_entry_is_dropped_even_during_an_outage(
-    store: lives_tests.RegistryWriter, name: str
+    store: replica_restarts_tests.RegistryWriter, name: str
 ) -> None:
     """Entries that vanish during a registry outage may return, but this one was overwritten."""
     store.state.catalogue.note_outage(1e12)
@@ -100,38 +106,47 @@
 
 
 def test_replica_is_used_again_after_it_rewrites_its_entry(
-    store: lives_tests.RegistryWriter,
+    store: replica_restarts_tests.RegistryWriter,
 ) -> None:
     store.put(names.REPLICA_PREFIX + ID, b'\xff')
     store.record(ID, weights=3)
     assert store.list_used() == {ID, OTHER}
 
 
-def test_optional_fields_may_be_missing(store: lives_tests.RegistryWriter) -> None:
+def test_optional_fields_may_be_missing(store: replica_restarts_tests.RegistryWriter) -> None:
     """Replicas of plain services have no models; older ones do not report their start time."""
     store.record(ID, service='app', models=None, born=None, weights=0)
     assert store.list_used('app') == {ID}
 
 
 def test_replica_of_an_unknown_service_is_used_once_it_is_configured(
-    store: lives_tests.RegistryWriter,
+    store: replica_restarts_tests.RegistryWriter,
 ) -> None:
     store.record('i-3', service='soon', address='10.0.0.3:8080')
     assert not store.list_used('soon')
     assert 'i-3' not in {s.id for s in store.state.pools.list_states()}
-    services = [*lives_tests.SERVICES, lives_tests.SERVICES[0] | {'name': 'soon'}]
+    services = [
+        *replica_restarts_tests.SERVICES,
+        replica_restarts_tests.SERVICES[0] | {'name': 'soon'},
+    ]
     store.put(names.CONFIGURATION_KEY, {'version': 2, 'services': services})
     assert store.list_used('soon') == {'i-3'}
     assert 'i-3' in {s.id for s in store.state.pools.list_states()}
 
 
-def test_replica_of_a_removed_service_is_not_used(store: lives_tests.RegistryWriter) -> None:
-    store.put(names.CONFIGURATION_KEY, {'version': 2, 'services': lives_tests.SERVICES[1:]})
+def test_replica_of_a_removed_service_is_not_used(
+    store: replica_restarts_tests.RegistryWriter,
+) -> None:
+    store.put(
+        names.CONFIGURATION_KEY, {'version': 2, 'services': replica_restarts_tests.SERVICES[1:]}
+    )
     assert not store.list_used()
     assert not store.state.pools.list_states()
 
 
-def test_two_entries_may_have_the_same_address(store: lives_tests.RegistryWriter) -> None:
+def test_two_entries_may_have_the_same_address(
+    store: replica_restarts_tests.RegistryWriter,
+) -> None:
     """The process at the address states its identity in each response."""
     store.record('i-3', weights=3)
     assert store.list_used() == {ID, OTHER, 'i-3'}
@@ -148,43 +163,45 @@
 def test_arbitrary_bytes_do_not_affect_other_entries(data: bytes) -> None:
     store = build_store()
     store.put(names.REPLICA_PREFIX + ID, data)
-    store.put(names.VERSION_PREFIX + lives_tests.MODEL, data)
+    store.put(names.VERSION_PREFIX + replica_restarts_tests.MODEL, data)
     assert store.list_used() == {OTHER}
 
 
 @hypothesis.given(
-    field=st.sampled_from(sorted(lives_tests.make_entry())), value=_JSON, cut=st.integers(0, 200)
+    field=st.sampled_from(sorted(replica_restarts_tests.make_entry())),
+    value=_JSON,
+    cut=st.integers(0, 200),
 )
 def test_arbitrary_field_values_do_not_affect_other_entries(
     field: str, value: Any, cut: int
 ) -> None:
     store = build_store()
-    data = json.dumps(lives_tests.make_entry() | {field: value}).encode()
+    data = json.dumps(replica_restarts_tests.make_entry() | {field: value}).encode()
     store.put(names.REPLICA_PREFIX + ID, data)
     store.put(names.REPLICA_PREFIX + 'i-3', data[:cut])
     assert OTHER in store.list_used()
     assert all(r.slots > 0 and r.address for r in store.state.pools.replicas.values())
 
 
-def test_invalid_releases_are_ignored(store: lives_tests.RegistryWriter) -> None:
-    key = names.VERSION_PREFIX + lives_tests.MODEL
-    store.put(key, {'model': lives_tests.MODEL, 'version': 4})
+def test_invalid_releases_are_ignored(store: replica_restarts_tests.RegistryWriter) -> None:
+    key = names.VERSION_PREFIX + replica_restarts_tests.MODEL
+    store.put(key, {'model': replica_restarts_tests.MODEL, 'version': 4})
     for invalid in (
         b'\xff',
-        {'model': lives_tests.MODEL},
-        {'model': lives_tests.MODEL, 'version': 5.0},
-        {'model': lives_tests.MODEL, 'version': '5'},
-        {'model': lives_tests.MODEL, 'version': -1},
-        {'model': lives_tests.MODEL, 'version': 10**30},
+        {'model': replica_restarts_tests.MODEL},
+        {'model': replica_restarts_tests.MODEL, 'version': 5.0},
+        {'model': replica_restarts_tests.MODEL, 'version': '5'},
+        {'model': replica_restarts_tests.MODEL, 'version': -1},
+        {'model': replica_restarts_tests.MODEL, 'version': 10**30},
         {'model': 'another', 'version': 5},
     ):
         store.put(key, invalid)
     newest = {m: n.newest for m, n in store.state.pools.releases.items()}
-    assert newest == {lives_tests.MODEL: 4}
+    assert newest == {replica_restarts_tests.MODEL: 4}
 
 
 def test_persistently_invalid_record_is_logged_once(
-    store: lives_tests.RegistryWriter, monkeypatch: pytest.MonkeyPatch
+    store: replica_restarts_tests.RegistryWriter, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines: list[str] = []
     monkeypatch.setattr(registry_mirror.log, 'warning', lambda text, **_: lines.append(text))
@@ -214,7 +231,7 @@
 
 
 def test_a_hundred_invalid_entries_do_not_affect_the_replicas(
-    store: lives_tests.RegistryWriter, monkeypatch: pytest.MonkeyPatch
+    store: replica_restarts_tests.RegistryWriter, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines: list[str] = []
     counted: list[str] = []
@@ -230,7 +247,7 @@
 
 
 def test_engine_that_does_not_report_its_weights_is_not_used(
-    store: lives_tests.RegistryWriter,
+    store: replica_restarts_tests.RegistryWriter,
 ) -> None:
     """Guards against requests without a weight precondition, and with a salt without a version."""
     store.record('i-3', models=[], address='10.0.0.3:8080')
--- a/passpier/tests/platform/path_tests.py
+++ b/passpier/tests/platform/single_requests_tests.py
@@ -23,7 +23,7 @@
             reply = await running.ask(path, id='a' + path[1:4])
             assert reply.status == 200
             assert reply.body == f'POST {path} 8'.encode()
-            assert reply.headers.get(names.STAMP)
+            assert reply.headers.get(names.SERVER_STAMP)
             assert reply.headers.get(names.REQUEST_ID) == 'a' + path[1:4]
         for path in ('/stream/x', '/resume/x'):
             reply = await running.ask(path, headers=harness.PROMPT_HEADERS)
@@ -120,7 +120,7 @@
         assert len(running.list_runs('one')) == runs
         if status == 200 and headers:
             assert reply.body == COMPLETE_STREAM
-        stamped = reply.headers.get(names.STAMP) is not None
+        stamped = reply.headers.get(names.SERVER_STAMP) is not None
         assert stamped == (status in (200, 500))
 
     harness.run_check(check)
--- a/passpier/tests/platform/soak_tests.py
+++ b/passpier/tests/platform/soak_tests.py
@@ -56,14 +56,14 @@
 
 
 @pytest.mark.parametrize('seed', PLANNED_REGRESSION_SEEDS)
-def test_what_planned_work_cut_once_is_answered(seed: int) -> None:
+def test_planned_work_seeds_that_once_failed_pass(seed: int) -> None:
     plan = soak.Plan(seed, FULL_SECONDS, FULL_ROUTERS, planned=True)
     report = asyncio.run(soak.soak(plan, f'{LOGS}/planned'))
     assert report.broken == [], report.render()
 
 
 @pytest.mark.parametrize('seed', RESTART_REGRESSION_SEEDS)
-def test_what_new_lives_and_other_writers_broke_once_holds(seed: int) -> None:
+def test_restart_seeds_that_once_failed_pass(seed: int) -> None:
     plan = soak.Plan(seed, FULL_SECONDS, FULL_ROUTERS, planned=True, lives=True)
     report = asyncio.run(soak.soak(plan, f'{LOGS}/lives'))
     assert report.broken == [], report.render()
--- a/passpier/tests/platform/standins_tests.py
+++ b/passpier/tests/platform/standins_tests.py
@@ -71,7 +71,7 @@
     asyncio.run(check())
 
 
-async def order(running: deployment.Deployment, stand_in: replica.Replica) -> exchanges.Answer:
+async def order(running: deployment.Deployment, stand_in: replica.Replica) -> exchanges.Response:
     headers = [('Host', stand_in.address)]
     body = json.dumps(ORDER).encode()
     request = exchanges.Request('POST', names.ORDER_PATH, headers, body)
--- a/passpier/tests/platform/stopping_tests.py
+++ b/passpier/tests/platform/stopping_tests.py
@@ -27,7 +27,7 @@
 from passpier.clients import exchanges
 from passpier.routing import router
 from passpier.standins.platform import deployment, routers
-from passpier.tests.platform import harness, leaving_tests
+from passpier.tests.platform import client_disconnects_tests, harness
 
 PERSISTENT_CLIENTS = 12
 """Clients that keep sending requests to a draining process."""
@@ -232,7 +232,7 @@
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         path = '/slow/' + 'x' * 40_000
         loop = asyncio.get_running_loop()
-        with leaving_tests.connect(running, received=2048) as client:
+        with client_disconnects_tests.connect(running, received=2048) as client:
             client.setblocking(False)
             await loop.sock_sendall(client, deployment.render_request(path, 'one', 9000))
             await harness.wait_for(lambda: any(r.finished for r in running.replicas.values()))
--- a/passpier/tests/platform/throttling_tests.py
+++ b/passpier/tests/platform/throttling_tests.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize('limit', [0.0, 1.0, 1.7, 6.0])
-def test_a_replica_that_names_a_limit_gets_no_more_from_all_routers(limit: float) -> None:
+def test_all_routers_together_respect_the_limit_of_a_replica(limit: float) -> None:
     """LIMIT: routers must not send what they would have sent without the limit."""
 
     async def check(running: deployment.Deployment) -> None:
--- a/passpier/tests/platform/silence_tests.py
+++ b/passpier/tests/platform/unresponsive_connections_tests.py
@@ -19,7 +19,7 @@
 from passpier.clients import connections
 from passpier.daemon import messages, metrics, peers
 from passpier.standins.platform import deployment, proxy
-from passpier.tests.platform import harness, leaving_tests
+from passpier.tests.platform import client_disconnects_tests, harness
 
 log = logging.getLogger(__name__)
 
@@ -162,10 +162,10 @@
         others = [c for c in list_idle(pool) if c.address != address]
         assert others
         # Unresponsive for a long time: the process that responds now was restarted.
-        pool.note_silent(address, clocks.now() - 2 * connections.UNRESPONSIVE_MEMORY)
+        pool.note_unresponsive(address, clocks.now() - 2 * connections.UNRESPONSIVE_MEMORY)
         await running.routers[0].adapter.engines.report(address, 'app-0')
         assert not [c for c in others if c.closed]
-        pool.note_silent(address, clocks.now())
+        pool.note_unresponsive(address, clocks.now())
         await running.routers[0].adapter.engines.report(address, 'app-0')
         assert [c for c in others if c.closed]
 
@@ -237,7 +237,9 @@
         await wait_for(lambda: bool(running.list_runs('one')), 'run')
         await asyncio.sleep(0.1)
         link.silence()
-        await wait_for(lambda: leaving_tests.list_dropped(running) == ['one'], 'silent client')
+        await wait_for(
+            lambda: client_disconnects_tests.list_dropped(running) == ['one'], 'silent client'
+        )
         pending.cancel()
         await link.stop()
 
--- a/passpier/tests/routing/crash_records_tests.py
+++ b/passpier/tests/routing/crash_records_tests.py
@@ -38,7 +38,7 @@
         return 1
 
     async def write(
-        self, puts: Sequence[registry.Put], conditions: Sequence[registry.IsAt] = ()
+        self, puts: Sequence[registry.Put], conditions: Sequence[registry.ExpectedRevision] = ()
     ) -> int:
         if self.unavailable:
             raise exceptions.StoreError('no answer')
--- a/passpier/tests/routing/fleets.py
+++ b/passpier/tests/routing/fleets.py
@@ -68,13 +68,13 @@
         self.rng = rng
         self.cut = False
 
-    async def read(self, prefix: str) -> registry.Reading:
+    async def read(self, prefix: str) -> registry.Listing:
         sent_at = clocks.now()
         await self._simulate_call()
         items = tuple(self.source.items.values())
         revision = self.source.revision
         await self._simulate_call()
-        return registry.Reading(items, revision, sent_at)
+        return registry.Listing(items, revision, sent_at)
 
     async def watch(self, prefix: str, after: int, wait: float) -> registry.Changes:
         sent_at = clocks.now()
@@ -83,7 +83,7 @@
         while clocks.now() < ends_at and self.source.revision <= after:
             await asyncio.sleep(0.01)
         if after < self.source.compacted_at:
-            raise registry.HistoryGoneError('forgotten')
+            raise registry.CompactedError('forgotten')
         items = tuple(c for c in self.source.changes if c.revision > after)
         revision = self.source.revision
         await self._simulate_call()
--- a/passpier/tests/routing/registry_mirror_tests.py
+++ b/passpier/tests/routing/registry_mirror_tests.py
@@ -38,7 +38,7 @@
     """
     state = make_state()
     if state_before:
-        state.apply_listing(registry.Reading((CONFIGURATION, READY, HOLDER), 95, NOW), NOW)
+        state.apply_listing(registry.Listing((CONFIGURATION, READY, HOLDER), 95, NOW), NOW)
         apply_from_peer(state, 103, DRAINING)
         apply_from_peer(state, 104, GONE)
         apply_from_peer(state, 105, registry.Item(HOLDER.key, b'', 105, removed=True))
@@ -47,7 +47,7 @@
             history.ChangeSet((CONFIGURATION,), True), 0, 105, {}
         )
         assert state.apply_peer_changes(peer_changes, NOW)
-    late = registry.Reading((CONFIGURATION, READY, HOLDER), 100, NOW)
+    late = registry.Listing((CONFIGURATION, READY, HOLDER), 100, NOW)
     state.apply_listing(late, NOW + 0.2)
     assert 'r1' not in state.pools.replicas
     assert not state.members
@@ -57,6 +57,6 @@
 
 def test_a_late_listing_adds_what_no_peer_has_sent() -> None:
     state = make_state()
-    state.apply_listing(registry.Reading((CONFIGURATION,), 80, NOW), NOW)
-    state.apply_listing(registry.Reading((CONFIGURATION, READY), 100, NOW), NOW)
+    state.apply_listing(registry.Listing((CONFIGURATION,), 80, NOW), NOW)
+    state.apply_listing(registry.Listing((CONFIGURATION, READY), 100, NOW), NOW)
     assert 'r1' in state.pools.replicas
