--- a/passpier/standins/fleet/model.py
+++ b/passpier/standins/fleet/model.py
@@ -22,7 +22,7 @@
 from passpier.core import attempts, members, pauses, prompts, replica_processes, replicas
 from passpier.daemon import calls, dispatcher
 from passpier.routing import pools, requests
-from passpier.standins import network, virtual
+from passpier.standins import network, virtual_time
 from passpier.standins.fleet import engines, reports, routers, traffic
 
 NETWORK_DELAY = 0.0035
@@ -261,7 +261,7 @@
         finally:
             clocks.now = real_now
 
-    return virtual.run(run())
+    return virtual_time.run(run())
 
 
 def main(seed: int = 1, count: int = 1, **changes: int | float) -> None:
--- a/passpier/standins/fleets.py
+++ b/passpier/standins/fleets.py
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        trial: processes.Trial,
+        trial: processes.ProcessGroup,
         daemons: int = 2,
         engines: int = 2,
         services: int = 1,
@@ -31,7 +31,7 @@
         daemon_flags: Sequence[str] = (),
     ) -> None:
         folder = trial.folder
-        self.trial = trial
+        self.process_group = trial
         self.store = processes.Standin('store', 'store', folder)
         self.vms = processes.Standin('vms', 'vms', folder)
         self.engines = [
@@ -59,10 +59,10 @@
 
     def start(self) -> None:
         """Start everything, apply the schema, and wait until the daemons are ready."""
-        self.trial.add(*self.standins)
+        self.process_group.add(*self.standins)
         for standin in self.standins:
             processes.wait_for_port(standin.address)
-        self.trial.add(*self.daemons)
+        self.process_group.add(*self.daemons)
         for daemon in self.daemons:
             processes.wait_for_port(daemon.operators)
         self.apply(self.schema, 0)
@@ -131,31 +131,31 @@
 
     def write_schema(self, schema: dict[str, Any] | None = None) -> pathlib.Path:
         """Write a schema file and return its path."""
-        path = self.trial.folder / 'schema.yaml'
+        path = self.process_group.folder / 'schema.yaml'
         path.write_text(yaml.safe_dump(schema or self.schema, sort_keys=False))
         return path
 
-    def complete(self, daemon: int, prompt: str, tokens: int = 8, **fields: Any) -> Answer:
+    def complete(self, daemon: int, prompt: str, tokens: int = 8, **fields: Any) -> Response:
         """Request a streamed completion from a daemon."""
         return complete(self.daemons[daemon].entry, prompt, tokens, **fields)
 
     def call_service(
         self, daemon: int, key: str = '', path: str = '/ack', method: str = 'POST'
-    ) -> Answer:
+    ) -> Response:
         """Call the plain service through a daemon."""
         headers = make_headers()
         if key:
             headers['Idempotency-Key'] = key
         url = f'http://{self.daemons[daemon].entry}/services/ack{path}'
         body = {'n': 1} if method == 'POST' else None
-        return Answer(*processes.call(method, url, body, headers))
+        return Response(*processes.call(method, url, body, headers))
 
     def count_runs(self, key: str) -> int:
         """Return how often the plain services ran an idempotency key."""
         return sum(s.get('/_runs').get(key, 0) for s in self.services)
 
 
-class Answer:
+class Response:
     """An HTTP response, with the parsed chunks of a streamed completion."""
 
     def __init__(self, status: int, headers: dict[str, str], body: bytes) -> None:
@@ -163,7 +163,7 @@
         self.headers = headers
         self.body = body
         lines = [line[6:] for line in body.decode().splitlines() if line.startswith('data: ')]
-        self.whole = bool(lines) and lines[-1] == '[DONE]'
+        self.is_complete = bool(lines) and lines[-1] == '[DONE]'
         self.chunks = [json.loads(line) for line in lines if line != '[DONE]']
 
     @property
@@ -184,11 +184,11 @@
         return self.chunks[-1]['usage']['prompt_tokens_details']['cached_tokens']
 
 
-def complete(entry: str, prompt: str, tokens: int = 8, **fields: Any) -> Answer:
+def complete(entry: str, prompt: str, tokens: int = 8, **fields: Any) -> Response:
     """Request a streamed completion from an entry address."""
     body = {'model': 'flag', 'prompt': prompt, 'max_tokens': tokens, 'stream': True, **fields}
     url = f'http://{entry}/v1/completions'
-    return Answer(*processes.call('POST', url, body, make_headers()))
+    return Response(*processes.call('POST', url, body, make_headers()))
 
 
 def make_headers(key: str = KEYS['tower']) -> dict[str, str]:
@@ -199,7 +199,7 @@
 @contextlib.contextmanager
 def run_fleet(**options: Any) -> Iterator[Fleet]:
     """Yield a started fleet; kill its processes at the end of the context."""
-    with processes.run_trial() as trial:
+    with processes.run_process_group() as trial:
         fleet = Fleet(trial, **options)
         fleet.start()
         yield fleet
--- a/passpier/standins/platform/backpressure.py
+++ b/passpier/standins/platform/backpressure.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from passpier import clocks
-from passpier.standins.platform import deployment, promises, replica
+from passpier.standins.platform import deployment, invariants, replica
 
 INTERVALS = (0.3, 2.0)
 """Minimum and maximum seconds between two signals of the series."""
@@ -41,7 +41,7 @@
     """Makes replicas send limits, refuse with a backoff, and announce that they are leaving."""
 
     def __init__(self, running: deployment.Deployment, host: Host, rng: random.Random) -> None:
-        self.limits: list[promises.Limited] = []
+        self.limits: list[invariants.LimitPeriod] = []
         self._running = running
         self._host = host
         self._rng = rng
@@ -67,7 +67,7 @@
         chosen.faults.limit = limit
         await asyncio.sleep(seconds)
         chosen.faults.limit = None
-        self.limits.append(promises.Limited(chosen.id, limit, began, clocks.now()))
+        self.limits.append(invariants.LimitPeriod(chosen.id, limit, began, clocks.now()))
 
     async def _refuse(self, last: float) -> None:
         chosen = self._pick()
--- a/passpier/standins/platform/clients.py
+++ b/passpier/standins/platform/clients.py
@@ -11,7 +11,7 @@
 from passpier import clocks
 from passpier.clients import exchanges
 from passpier.platform import names
-from passpier.standins.platform import deployment, promises, replica, routers
+from passpier.standins.platform import deployment, invariants, replica, routers
 
 RESOLVE_TTL = 1.0
 """Seconds for which clients cache an answer of the directory."""
@@ -45,7 +45,7 @@
         seed: int,
         rng: random.Random,
     ) -> None:
-        self.outcomes: list[promises.Asked] = []
+        self.outcomes: list[invariants.RequestOutcome] = []
         self._running = running
         self._routers = processes
         self._rng = rng
@@ -84,7 +84,7 @@
         kind = rng.choice(['stream', 'resume', 'safe', 'once'])
         key = rng.choice(['secret-1', 'secret-2'])
         router = await self._choose_router(rng, f'short {rng.randrange(8)}', RESOLVE_TTL)
-        headers = deployment.make_prompt(rng) if kind in promises.STREAM_KINDS else []
+        headers = deployment.make_prompt(rng) if kind in invariants.STREAM_KINDS else []
         await self._ask(router, id, kind, key, SHORT_PATIENCE, headers)
 
     async def _ask_long(self, id: str) -> None:
@@ -92,7 +92,7 @@
         kind = rng.choice(list(LONG_PATIENCE))
         patience = LONG_PATIENCE[kind]
         router = await self._choose_router(rng, f'long {rng.randrange(8)}', LONG_RESOLVE_TTL)
-        headers = deployment.make_prompt(rng) if kind in promises.STREAM_KINDS else []
+        headers = deployment.make_prompt(rng) if kind in invariants.STREAM_KINDS else []
         seconds = rng.uniform(LONG_SECONDS, patience * WORK_SHARE)
         headers.append((replica.WORK_SECONDS, f'{seconds:.2f}'))
         await self._ask(router, id, kind, deployment.KEY, patience, headers)
@@ -116,7 +116,7 @@
             assert observed.head is not None
             echoed_id = observed.head.get(names.REQUEST_ID) or 'nobody'
         self.outcomes.append(
-            promises.Asked(
+            invariants.RequestOutcome(
                 id,
                 kind,
                 key,
--- a/passpier/standins/platform/costs.py
+++ b/passpier/standins/platform/costs.py
@@ -30,7 +30,7 @@
     """The cost of one kind of work, over all routers."""
 
     work: str
-    done: int
+    count: int
     """Number of requests or processes."""
 
     milliseconds: float
@@ -42,7 +42,7 @@
     def render(self) -> str:
         """Return the row as text."""
         own = self.milliseconds - self.at_rest
-        return f'{self.work:<28} {self.done:>6} {self.milliseconds:>9.2f} {own:>9.2f}'
+        return f'{self.work:<28} {self.count:>6} {self.milliseconds:>9.2f} {own:>9.2f}'
 
 
 @dataclasses.dataclass(slots=True)
--- a/passpier/standins/platform/deployment.py
+++ b/passpier/standins/platform/deployment.py
@@ -22,7 +22,7 @@
 from passpier.routing import dialect as routing
 from passpier.routing import router
 from passpier.standins import processes
-from passpier.standins.platform import foreign, metastore, replica
+from passpier.standins.platform import foreign_entries, metastore, replica
 
 HOST = 'desk.example'
 MODEL = 'm1'
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reply:
+class Response:
     """A complete response, as a client receives it."""
 
     status: int
@@ -57,7 +57,7 @@
     """The components of a deployment, all accessible to tests."""
 
     def __init__(self) -> None:
-        self.meta = metastore.MetaStore(clocks.now)
+        self.store = metastore.MetaStore(clocks.now)
         self.faults = metastore.Faults()
         self.store_address = ''
         self.replicas: dict[str, replica.Replica] = {}
@@ -75,7 +75,7 @@
 
     async def start(self, routers: int = 1) -> None:
         """Start the store with a configuration, two replicas of each service, and the routers."""
-        application = metastore.build_application(self.meta, self.faults)
+        application = metastore.build_application(self.store, self.faults)
         self.store_address = self._listen(application)
         self.configure()
         self._start_replica(self.decoy)
@@ -90,23 +90,23 @@
         """Apply a new configuration, as the operator does."""
         self.version += 1
         self.configuration = {**self.configuration, **changes, 'version': self.version}
-        self.meta.put(names.CONFIGURATION_KEY, self.configuration)
+        self.store.put(names.CONFIGURATION_KEY, self.configuration)
 
-    def name_version(self, version: int) -> None:
+    def release_version(self, version: int) -> None:
         """Release new weights, as the operator does."""
-        self.meta.put(f'{names.VERSION_PREFIX}{MODEL}', {'model': MODEL, 'version': version})
+        self.store.put(f'{names.VERSION_PREFIX}{MODEL}', {'model': MODEL, 'version': version})
 
     def add_replica(self, added: replica.Replica) -> None:
         """Start a replica and write its entry."""
         self._start_replica(added)
         self.replicas[added.id] = added
-        self.record(added.id)
+        self.write_entry(added.id)
 
     def crash_replica(self, id: str) -> None:
         """Crash a replica; its entry stays."""
         self.replicas[id].crash()
 
-    def make_deadly(self, body: bytes, away: float) -> None:
+    def crash_on_body(self, body: bytes, away: float) -> None:
         """Make every request with this body crash the replica that runs it.
 
         A crashed replica restarts under its id after `away` seconds.
@@ -121,14 +121,14 @@
     def restart_replica(self, id: str, version: int | None = None, born: int | None = None) -> None:
         """Restart a replica under its id, at its address; see `Replica.restart`."""
         self.replicas[id].restart(version, born)
-        self.record(id)
+        self.write_entry(id)
 
     def write_foreign_entries(self, count: int, rng: random.Random) -> list[str]:
         """Write malformed entries of other writers under unused ids, and return the ids."""
-        values = list(foreign.build_values(self.decoy.render_entry()).values())
+        values = list(foreign_entries.build_malformed_entries(self.decoy.render_entry()).values())
         ids = [f'foreign-{rng.getrandbits(32):x}' for _ in range(count)]
         for id in ids:
-            self.meta.put_bytes(names.REPLICA_PREFIX + id, rng.choice(values))
+            self.store.put_bytes(names.REPLICA_PREFIX + id, rng.choice(values))
         return ids
 
     def overwrite_entry(self, id: str, kind: str) -> int:
@@ -136,31 +136,31 @@
 
         `record` restores the replica's own entry. Returns the revision of the store.
         """
-        values = foreign.build_values(self.replicas[id].render_entry())
-        return self.meta.put_bytes(names.REPLICA_PREFIX + id, values[kind])
+        values = foreign_entries.build_malformed_entries(self.replicas[id].render_entry())
+        return self.store.put_bytes(names.REPLICA_PREFIX + id, values[kind])
 
     def get_entry_revision(self, id: str) -> int:
         """Return the revision of a replica's entry; 0 if there is none."""
-        item = self.meta.items.get(names.REPLICA_PREFIX + id)
+        item = self.store.items.get(names.REPLICA_PREFIX + id)
         return item.revision if item else 0
 
     def has_entry(self, id: str) -> bool:
         """Return whether an entry exists under a replica's id."""
         return self.get_entry_revision(id) > 0
 
-    def record(self, id: str) -> None:
+    def write_entry(self, id: str) -> None:
         """Write a replica's entry."""
-        self.meta.put(names.REPLICA_PREFIX + id, self.replicas[id].render_entry())
+        self.store.put(names.REPLICA_PREFIX + id, self.replicas[id].render_entry())
 
-    def remove_replica(self, id: str) -> None:
+    def remove_entry(self, id: str) -> None:
         """Remove a replica's entry; the replica keeps running."""
-        self.meta.remove(names.REPLICA_PREFIX + id)
+        self.store.remove(names.REPLICA_PREFIX + id)
 
-    def go_dark(self, id: str) -> None:
+    def make_unreachable(self, id: str) -> None:
         """Make a replica leave every call unanswered."""
         self.replicas[id].faults.unreachable = True
 
-    def go_light(self, id: str) -> None:
+    def make_reachable(self, id: str) -> None:
         """Make a replica answer again."""
         self.replicas[id].faults.unreachable = False
 
@@ -212,7 +212,7 @@
                 target.server.stop()
         self.pool.close()
 
-    async def ask(self, path: str, entry: int = 0, **given: Any) -> Reply:
+    async def ask(self, path: str, entry: int = 0, **given: Any) -> Response:
         """Send a client request to a router and return the complete response; see `ask_at`."""
         return await self.ask_at(self.routers[entry].options.caller, path, **given)
 
@@ -227,13 +227,13 @@
         body: bytes = b'question',
         host: str = HOST,
         method: str = 'POST',
-    ) -> Reply:
+    ) -> Response:
         """Send a client request to an address and return the complete response."""
         self._ids += 1
         given = build_headers(id or f'r{self._ids}', patience_ms, key, host)
         request = exchanges.Request(method, path, [*given, *headers], body)
         answer = await self.pool.fetch(address, request, patience_ms / 1000 + RESPONSE_SLACK)
-        return Reply(answer.head.status, answer.head, answer.body)
+        return Response(answer.head.status, answer.head, answer.body)
 
     async def observe_at(
         self, address: str, request: exchanges.Request, patience: float
--- a/passpier/standins/platform/fault_injection.py
+++ b/passpier/standins/platform/fault_injection.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable, Sequence
 
 from passpier import clocks
-from passpier.standins.platform import deployment, promises, proxy, replica, routers
+from passpier.standins.platform import deployment, invariants, proxy, replica, routers
 
 MEAN_FAULT_INTERVAL = 0.4
 """Mean seconds between the starts of two faults, which may overlap."""
@@ -57,14 +57,14 @@
         """Release the next version of the weights."""
         version = self.version + 1
         self.released[version] = clocks.now()
-        self.deployment.name_version(version)
+        self.deployment.release_version(version)
 
     async def put_behind_proxy(self, target: replica.Replica) -> None:
         """Start a proxy for a replica and register the replica at the proxy's address."""
         link = self.links[target.id] = proxy.Proxy(target.address)
         await link.start()
         target.address = link.address
-        self.deployment.record(target.id)
+        self.deployment.write_entry(target.id)
 
 
 class FaultInjector:
@@ -76,12 +76,12 @@
 
         self.violations: list[str] = []
         self.revoked: dict[str, float] = {}
-        self.resumptions: list[promises.Thaw] = []
-        self.disturbances: list[promises.Disturbance] = []
+        self.resumptions: list[invariants.Resumption] = []
+        self.disturbances: list[invariants.Disturbance] = []
         self.unplanned: list[tuple[float, float]] = []
         """Starts and ends of faults that are not planned work."""
 
-        self.stops: list[promises.Stop] = []
+        self.stops: list[invariants.Stop] = []
         self._targets = targets
         self._rng = rng
         self._spare = 0
@@ -138,8 +138,8 @@
     def log_resumption(self, name: str, began: float) -> None:
         """Record that a paused router has been resumed."""
         now = clocks.now()
-        self.resumptions.append(promises.Thaw(name, now))
-        self.disturbances.append(promises.Disturbance(name, began, now))
+        self.resumptions.append(invariants.Resumption(name, now))
+        self.disturbances.append(invariants.Disturbance(name, began, now))
 
     def _pick_router(self) -> routers.RouterProcess | None:
         free = [r for r in self._targets.routers if not r.busy]
@@ -179,16 +179,16 @@
             return
         router.busy = True
         self.log_fault(f'{router.name} is stopped (planned)')
-        stop = promises.Stop(router.name, clocks.now())
+        stop = invariants.Stop(router.name, clocks.now())
         router.send(signal.SIGTERM)
         await self.finish_stop(router, stop)
 
-    async def finish_stop(self, router: routers.RouterProcess, stop: promises.Stop) -> None:
+    async def finish_stop(self, router: routers.RouterProcess, stop: invariants.Stop) -> None:
         """Wait for the end of a stop, as the platform does, and restart the router."""
         self.stops.append(stop)
-        while router.runs and clocks.now() < stop.at + routers.STOP_BOUND:
+        while router.is_running and clocks.now() < stop.at + routers.STOP_BOUND:
             await asyncio.sleep(0.02)
-        if router.runs:
+        if router.is_running:
             self.violations.append(f'{router.name} did not exit within {routers.STOP_BOUND} s')
             router.kill()
         stop.ended = clocks.now()
@@ -199,11 +199,11 @@
         """Restart a router."""
         router.start()
         now = clocks.now()
-        self.disturbances.append(promises.Disturbance(router.name, now, now + START_SECONDS))
+        self.disturbances.append(invariants.Disturbance(router.name, now, now + START_SECONDS))
 
     async def _reload_router(self) -> None:
         router = self._pick_router()
-        if router is None or not router.hears(signal.SIGHUP):
+        if router is None or not router.handles_signal(signal.SIGHUP):
             return
         router.retry_slack = self._rng.randint(20, 60)
         self.log_fault(f'{router.name} is told to reload')
@@ -228,16 +228,16 @@
         if how == 'delays':
             link.delay = self._rng.uniform(0.01, 0.3)
         link.cut = {
-            'cut out': {proxy.Way.OUT},
-            'cut back': {proxy.Way.BACK},
-            'silent': set(proxy.Way),
+            'cut out': {proxy.Direction.OUT},
+            'cut back': {proxy.Direction.BACK},
+            'silent': set(proxy.Direction),
         }.get(how, set())
         began = clocks.now()
         await asyncio.sleep(seconds)
         link.heal()
         held = [id for id, other in self._targets.links.items() if other is link]
         now = clocks.now()
-        self.disturbances += [promises.Disturbance(id, began, now) for id in held]
+        self.disturbances += [invariants.Disturbance(id, began, now) for id in held]
 
     async def _inject_replica_fault(self) -> None:
         fault = self._rng.choice(['refuse', 'fail', 'lose', 'cut', 'swap', 'lie'])
@@ -251,7 +251,7 @@
             return
         await self.begin_replacement(chosen)
         await asyncio.sleep(self._rng.uniform(1.0, 3.0))
-        self._targets.deployment.remove_replica(chosen.id)
+        self._targets.deployment.remove_entry(chosen.id)
 
     async def begin_replacement(self, chosen: replica.Replica) -> None:
         """Add a replica of the same service, and let the chosen one drain."""
@@ -263,7 +263,7 @@
         self._targets.deployment.add_replica(fresh)
         await self._targets.put_behind_proxy(fresh)
         chosen.state = 'draining'
-        self._targets.deployment.record(chosen.id)
+        self._targets.deployment.write_entry(chosen.id)
 
     async def _disturb_store(self) -> None:
         faults = self._targets.deployment.faults
@@ -274,7 +274,7 @@
             faults.lose_answers = self._rng.randint(1, 3)
             faults.late_effects = self._rng.randint(0, 3)
         elif how == 'forgets its history':
-            self._targets.deployment.meta.forget_history()
+            self._targets.deployment.store.compact_history()
         else:
             faults.down = how == 'down'
             faults.delay = 0.2 if how == 'slow' else 0.0
@@ -342,7 +342,7 @@
         for name in self._rng.sample(list(links), count):
             links[name].silence()
             self._faults.disturbances.append(
-                promises.Disturbance(name, now, now + SILENCE_DETECTION)
+                invariants.Disturbance(name, now, now + SILENCE_DETECTION)
             )
 
     def _list_links(self) -> dict[str, proxy.Proxy]:
--- a/passpier/standins/platform/foreign.py
+++ b/passpier/standins/platform/foreign_entries.py
@@ -27,7 +27,7 @@
 }
 
 
-def build_values(entry: Mapping[str, object]) -> dict[str, bytes]:
+def build_malformed_entries(entry: Mapping[str, object]) -> dict[str, bytes]:
     """Return malformed variants of a valid entry, by a description of the defect."""
     values = dict(UNREADABLE)
     for field, value in entry.items():
--- a/passpier/standins/platform/promises.py
+++ b/passpier/standins/platform/invariants.py
@@ -53,7 +53,7 @@
 
 LIMIT_SLACK = 5
 
-LIMIT_HEARD = 0.5
+LIMIT_GRACE = 0.5
 """Seconds after which a router that relayed a response with a limit has to respect the limit."""
 
 BACKOFF_GRACE = 0.5
@@ -68,11 +68,11 @@
 EVENT_COUNT = 5
 """Number of events in a stream of the stand-in replicas."""
 
-WHOLE = b''.join(b'id: %d\ndata: piece %d\n\n' % (n, n) for n in range(EVENT_COUNT))
+COMPLETE_BODY = b''.join(b'id: %d\ndata: piece %d\n\n' % (n, n) for n in range(EVENT_COUNT))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class RequestOutcome:
     """A request and what its client received; status 0 means that the response is incomplete."""
 
     id: str
@@ -106,22 +106,22 @@
 
     router: str
     at: float
-    still_since: float = 0.0
+    paused_since: float = 0.0
     """Start of the pause (SIGSTOP) in which the SIGTERM was sent; equal to `at` without one."""
 
     ended: float = math.inf
     """When the process exited."""
 
     def __post_init__(self) -> None:
-        self.still_since = self.still_since or self.at
+        self.paused_since = self.paused_since or self.at
 
-    def may_leave_unread(self, outcome: Asked) -> bool:
+    def may_leave_unread(self, outcome: RequestOutcome) -> bool:
         """Return whether a request may have arrived too late for the process to read it."""
         return self.ended - UNREAD_BEFORE_EXIT <= outcome.sent_at <= self.ended
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Thaw:
+class Resumption:
     """The end of a router's pause."""
 
     name: str
@@ -129,7 +129,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unnamed:
+class OverwrittenEntry:
     """A period in which a replica's entry was overwritten by another writer."""
 
     id: str
@@ -138,7 +138,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Limited:
+class LimitPeriod:
     """A period in which a replica sent a limit in its responses."""
 
     id: str
@@ -165,13 +165,13 @@
     return any(d.of in names and d.excuses(at) for d in disturbances)
 
 
-def find_broken(
-    outcomes: Iterable[Asked],
+def find_violations(
+    outcomes: Iterable[RequestOutcome],
     replicas: Iterable[replica.Replica],
     revoked: Mapping[str, float],
     key_bound: float,
     order_gap: float,
-    resumptions: Sequence[Thaw] = (),
+    resumptions: Sequence[Resumption] = (),
 ) -> list[str]:
     """Return a description of each violation.
 
@@ -194,8 +194,8 @@
     return violations + _check_orders(targets, order_gap, resumptions)
 
 
-def find_outdated(
-    outcomes: Iterable[Asked],
+def find_outdated_runs(
+    outcomes: Iterable[RequestOutcome],
     replicas: Iterable[replica.Replica],
     named: Mapping[int, float],
     bound: float,
@@ -222,10 +222,10 @@
     return violations
 
 
-def find_unnamed(
-    outcomes: Iterable[Asked],
+def find_runs_after_overwrite(
+    outcomes: Iterable[RequestOutcome],
     replicas: Iterable[replica.Replica],
-    unnamed: Sequence[Unnamed],
+    unnamed: Sequence[OverwrittenEntry],
     disturbances: Sequence[Disturbance] = (),
     unplanned: Sequence[tuple[float, float]] = (),
 ) -> list[str]:
@@ -249,7 +249,7 @@
     return violations
 
 
-def find_over_limit(arrived: Sequence[float], limit: float) -> list[str]:
+def find_limit_excess(arrived: Sequence[float], limit: float) -> list[str]:
     """Return a description of the first window with more requests than tolerated."""
     allowed = limit * LIMIT_WINDOW * LIMIT_SHARE + LIMIT_SLACK
     times = sorted(arrived)
@@ -261,26 +261,26 @@
     return []
 
 
-def find_broken_signals(
-    outcomes: Iterable[Asked],
+def find_backpressure_violations(
+    outcomes: Iterable[RequestOutcome],
     replicas: Iterable[replica.Replica],
-    limits: Sequence[Limited],
+    limits: Sequence[LimitPeriod],
     disturbances: Sequence[Disturbance] = (),
 ) -> list[str]:
     """Return each limit, backoff or leaving flag of a replica that routers did not respect."""
     outcomes, targets = list(outcomes), list(replicas)
     routers = {one.id: one.router for one in outcomes}
-    violations = find_limits_broken(outcomes, targets, limits, disturbances)
-    violations += find_after_leaving(outcomes, targets, disturbances)
+    violations = find_limit_violations(outcomes, targets, limits, disturbances)
+    violations += find_requests_after_leaving(outcomes, targets, disturbances)
     for refusing in targets:
-        violations += find_backoffs_broken(refusing, routers, disturbances)
+        violations += find_backoff_violations(refusing, routers, disturbances)
     return violations
 
 
-def find_limits_broken(
-    outcomes: Iterable[Asked],
+def find_limit_violations(
+    outcomes: Iterable[RequestOutcome],
     replicas: Iterable[replica.Replica],
-    limits: Sequence[Limited],
+    limits: Sequence[LimitPeriod],
     disturbances: Sequence[Disturbance] = (),
 ) -> list[str]:
     """Return each limit that was exceeded by all routers together that knew it."""
@@ -292,22 +292,22 @@
         if limited is None:
             # The replica was replaced under another id.
             continue
-        signals = [signal for signal in limited.said if one.began <= signal.at < one.ended]
+        signals = [signal for signal in limited.signals if one.began <= signal.at < one.ended]
         known_since = _find_signal_times(
             [signal for signal in signals if signal.limit is not None], by_id
         )
         arrived = []
         for arrival in limited.arrivals:
             router = by_id[arrival.id].router if arrival.id in by_id else ''
-            since = known_since.get((router, arrival.life), math.inf)
-            counts = since + LIMIT_HEARD <= arrival.at <= one.ended
+            since = known_since.get((router, arrival.process_number), math.inf)
+            counts = since + LIMIT_GRACE <= arrival.at <= one.ended
             if counts and not _is_excused(disturbances, (router, one.id), arrival.at):
                 arrived.append(arrival.at)
-        violations += [f'{one.id} got {text}' for text in find_over_limit(arrived, one.limit)]
+        violations += [f'{one.id} got {text}' for text in find_limit_excess(arrived, one.limit)]
     return violations
 
 
-def find_backoffs_broken(
+def find_backoff_violations(
     refusing: replica.Replica,
     routers: Mapping[str, str],
     disturbances: Sequence[Disturbance] = (),
@@ -317,7 +317,7 @@
     `routers` has the router that each request was sent to, by request id.
     """
     violations = []
-    for signal in refusing.said:
+    for signal in refusing.signals:
         router = routers.get(signal.id)
         if router is None or not signal.backoff:
             continue
@@ -325,7 +325,7 @@
             a.at
             for a in refusing.arrivals
             if routers.get(a.id) == router
-            and a.life == signal.life
+            and a.process_number == signal.process_number
             and signal.at + BACKOFF_GRACE < a.at < signal.at + signal.backoff
         ]
         names = (router, refusing.id)
@@ -336,8 +336,8 @@
     return violations
 
 
-def find_after_leaving(
-    outcomes: Iterable[Asked],
+def find_requests_after_leaving(
+    outcomes: Iterable[RequestOutcome],
     replicas: Iterable[replica.Replica],
     disturbances: Sequence[Disturbance] = (),
 ) -> list[str]:
@@ -345,11 +345,11 @@
     by_id = {one.id: one for one in outcomes}
     violations = []
     for left in replicas:
-        signals = [signal for signal in left.said if signal.leaving]
+        signals = [signal for signal in left.signals if signal.leaving]
         known_since = _find_signal_times(signals, by_id)
         for arrival in left.arrivals:
             one = by_id.get(arrival.id)
-            since = known_since.get((one.router if one else '', arrival.life), math.inf)
+            since = known_since.get((one.router if one else '', arrival.process_number), math.inf)
             if one is None or one.sent_at <= since + REMOVAL_GRACE:
                 continue
             if not _is_excused(disturbances, (one.router, left.id), arrival.at):
@@ -361,19 +361,19 @@
 
 
 def _find_signal_times(
-    signals: Iterable[replica.Said], outcomes: Mapping[str, Asked]
+    signals: Iterable[replica.BackpressureSignal], outcomes: Mapping[str, RequestOutcome]
 ) -> dict[tuple[str, int], float]:
     """Return when routers knew of a replica's signal, by router and number of its process."""
     known_since: dict[tuple[str, int], float] = {}
     for signal in signals:
         one = outcomes.get(signal.id)
         if one is not None and one.status == 200:
-            known_since.setdefault((one.router, signal.life), signal.at + LINK_DELAY_MAX)
+            known_since.setdefault((one.router, signal.process_number), signal.at + LINK_DELAY_MAX)
     return known_since
 
 
-def find_lost(
-    outcomes: Iterable[Asked],
+def find_lost_requests(
+    outcomes: Iterable[RequestOutcome],
     replicas: Iterable[replica.Replica],
     stops: Sequence[Stop],
     grace: float,
@@ -390,7 +390,7 @@
         if one.status or one.seconds >= one.patience or _is_disturbed(one, unplanned):
             continue
         runs = [run for r in targets for run in r.runs if run.id == one.id]
-        if any(one.id in r.broken_off for r in targets):
+        if any(one.id in r.aborted for r in targets):
             continue
         stop = max(
             (s for s in stops if s.router == one.router and s.at <= one.ended_at),
@@ -407,14 +407,14 @@
     return violations
 
 
-def _is_disturbed(outcome: Asked, unplanned: Sequence[tuple[float, float]]) -> bool:
+def _is_disturbed(outcome: RequestOutcome, unplanned: Sequence[tuple[float, float]]) -> bool:
     return any(
         began <= outcome.ended_at and outcome.sent_at <= ended + UNPLANNED_FAULT_GRACE
         for began, ended in unplanned
     )
 
 
-def _is_too_long(outcome: Asked, stop: Stop, grace: float, worked_until: float) -> bool:
+def _is_too_long(outcome: RequestOutcome, stop: Stop, grace: float, worked_until: float) -> bool:
     """Return whether a stop may cut a stream: it was sent in time and its replica still works.
 
     A process that was paused cannot tell when its signal arrived, so that it counts the grace
@@ -422,11 +422,13 @@
     """
     in_time = outcome.sent_at <= stop.at + ACCEPTED_AFTER_STOP
     return (
-        outcome.begun and in_time and worked_until >= stop.still_since + grace * STREAM_GRACE_SHARE
+        outcome.begun and in_time and worked_until >= stop.paused_since + grace * STREAM_GRACE_SHARE
     )
 
 
-def _describe_lost(outcome: Asked, stop: Stop | None, runs: int, worked_until: float) -> str:
+def _describe_lost(
+    outcome: RequestOutcome, stop: Stop | None, runs: int, worked_until: float
+) -> str:
     text = (
         f'{outcome.id} ({outcome.kind}, begun: {outcome.begun}, runs: {runs}) got no answer from '
         f'{outcome.router} for {outcome.seconds:.2f} s'
@@ -438,14 +440,14 @@
     return f'{text}, work until {worked:+.2f} s' if runs else text
 
 
-def _check_request(outcome: Asked, runs: int) -> list[str]:
+def _check_request(outcome: RequestOutcome, runs: int) -> list[str]:
     violations = []
     once = outcome.kind in RUN_ONCE_KINDS
     if once and runs > 1:
         violations.append(f'{outcome.id} ({outcome.kind}) ran {runs} times')
     if once and outcome.status in NOT_RUN and runs:
         violations.append(f'{outcome.id} was told {outcome.status} and ran')
-    if outcome.status == 200 and outcome.kind in STREAM_KINDS and outcome.body != WHOLE:
+    if outcome.status == 200 and outcome.kind in STREAM_KINDS and outcome.body != COMPLETE_BODY:
         violations.append(f'{outcome.id} looks whole and is not')
     if outcome.echoed_id and outcome.echoed_id != outcome.id:
         violations.append(f'{outcome.id} got the answer of {outcome.echoed_id}')
@@ -453,12 +455,12 @@
 
 
 def _check_orders(
-    replicas: Sequence[replica.Replica], order_gap: float, resumptions: Sequence[Thaw]
+    replicas: Sequence[replica.Replica], order_gap: float, resumptions: Sequence[Resumption]
 ) -> list[str]:
     orders = sorted(
         (at, str(order['holder']), int(str(order['fencing_token'])))
         for target in replicas
-        for at, order in target.taken
+        for at, order in target.accepted_orders
         if not any(
             t.name == order['holder'] and 0 <= at - t.at < RESUMED_ORDER_GRACE for t in resumptions
         )
--- a/passpier/standins/platform/leaving.py
+++ b/passpier/standins/platform/leaving.py
@@ -45,10 +45,10 @@
     """The result of a measurement; times are in seconds."""
 
     asked: int = 0
-    learnt_after: list[float] = dataclasses.field(default_factory=list)
+    notified_after: list[float] = dataclasses.field(default_factory=list)
     """Times until the notification, of requests that would have run beyond the bound."""
 
-    never_learnt: int = 0
+    never_notified: int = 0
     late_arrivals: int = 0
     """Requests that reached a replica later than the bound after the disconnect."""
 
@@ -57,23 +57,23 @@
 
     def compute_share(self) -> float:
         """Return the share of notifications that arrived within the bound."""
-        count = len(self.learnt_after) + self.never_learnt
-        return sum(s <= BOUND for s in self.learnt_after) / count if count else 1.0
+        count = len(self.notified_after) + self.never_notified
+        return sum(s <= BOUND for s in self.notified_after) / count if count else 1.0
 
     def render(self) -> str:
         """Return the report as text."""
-        times = sorted(self.learnt_after) or [0.0]
+        times = sorted(self.notified_after) or [0.0]
         p99 = times[int(len(times) * 0.99)]
         return (
-            f'{self.asked} requests, {len(self.learnt_after) + self.never_learnt} to be ended: '
+            f'{self.asked} requests, {len(self.notified_after) + self.never_notified} to be ended: '
             f'{self.compute_share():.4f} learnt within {BOUND} s, median '
             f'{times[len(times) // 2] * 1000:.0f} ms, p99 {p99 * 1000:.0f} ms, longest '
-            f'{times[-1] * 1000:.0f} ms; {self.never_learnt} never learnt, '
+            f'{times[-1] * 1000:.0f} ms; {self.never_notified} never learnt, '
             f'{self.late_arrivals} late arrivals, {self.broken_off} run-once requests broken off'
         )
 
 
-class Leaving:
+class DisconnectMeasurement:
     """One measurement."""
 
     def __init__(self, seed: int, clients: int, waves: int, count: int) -> None:
@@ -102,8 +102,12 @@
     async def _start(self, folder: pathlib.Path) -> None:
         await self._deployment.start(routers=0)
         for target in self._deployment.replicas.values():
-            target.work, target.events, target.slots = WORK_SECONDS, EVENT_COUNT, 10 * self._clients
-            self._deployment.record(target.id)
+            target.work_seconds, target.event_count, target.slots = (
+                WORK_SECONDS,
+                EVENT_COUNT,
+                10 * self._clients,
+            )
+            self._deployment.write_entry(target.id)
         for number in range(self._count):
             router = routers.RouterProcess(number, folder, self._deployment.store_address)
             self._routers.append(router)
@@ -154,9 +158,9 @@
             if run.at + takes <= disconnected_at + BOUND:
                 continue
             if run.id in abandoned:
-                report.learnt_after.append(max(0.0, abandoned[run.id] - disconnected_at))
+                report.notified_after.append(max(0.0, abandoned[run.id] - disconnected_at))
             else:
-                report.never_learnt += 1
+                report.never_notified += 1
         return report
 
 
@@ -167,7 +171,7 @@
     # The stand-ins write to closed connections, and tornado would log each of them.
     logging.disable(logging.CRITICAL)
     for number in range(seed, seed + count):
-        report = asyncio.run(Leaving(number, clients, waves, routers).run())
+        report = asyncio.run(DisconnectMeasurement(number, clients, waves, routers).run())
         print(f'seed {number}: {report.render()}', flush=True)
 
 
--- a/passpier/standins/platform/metastore.py
+++ b/passpier/standins/platform/metastore.py
@@ -74,7 +74,7 @@
         self.revision += 1
         self._remove(key)
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Compact the whole history; watches from older revisions get 410."""
         self.oldest = self.revision
         self.history.clear()
--- a/passpier/standins/platform/play.py
+++ b/passpier/standins/platform/play.py
@@ -19,7 +19,7 @@
 from passpier import clocks
 from passpier.clients import exchanges
 from passpier.platform import names
-from passpier.standins.platform import backpressure, deployment, promises, replica
+from passpier.standins.platform import backpressure, deployment, invariants, replica
 
 MEAN_FAULT_INTERVAL = 0.25
 """Mean seconds between the starts of two faults, which may overlap."""
@@ -42,22 +42,22 @@
     """The result of a run."""
 
     seed: int
-    asked: list[promises.Asked] = dataclasses.field(default_factory=list)
+    outcomes: list[invariants.RequestOutcome] = dataclasses.field(default_factory=list)
     faults: list[str] = dataclasses.field(default_factory=list)
-    broken: list[str] = dataclasses.field(default_factory=list)
+    violations: list[str] = dataclasses.field(default_factory=list)
 
     def render(self) -> str:
         """Return the report as text."""
-        lines = [f'seed {self.seed}: {len(self.asked)} requests, {len(self.faults)} troubles']
-        kinds = sorted({a.kind for a in self.asked})
+        lines = [f'seed {self.seed}: {len(self.outcomes)} requests, {len(self.faults)} troubles']
+        kinds = sorted({a.kind for a in self.outcomes})
         for kind in kinds:
-            mine = [a for a in self.asked if a.kind == kind]
+            mine = [a for a in self.outcomes if a.kind == kind]
             counts = collections.Counter(a.status for a in mine)
             times = sorted(a.seconds for a in mine if a.status == 200)
             middle = times[len(times) // 2] * 1000 if times else 0.0
             told = ', '.join(f'{status}: {count}' for status, count in sorted(counts.items()))
             lines.append(f'  {kind:8} {told}; median of answers {middle:.0f} ms')
-        lines += [f'  broken: {text}' for text in self.broken] or ['  no promise broken']
+        lines += [f'  broken: {text}' for text in self.violations] or ['  no promise broken']
         return '\n'.join(lines)
 
 
@@ -74,7 +74,7 @@
         self._version = 1
         self._spare = 0
         self._with_signals = asks
-        self._disturbances: list[promises.Disturbance] = []
+        self._disturbances: list[invariants.Disturbance] = []
         self._backpressure = backpressure.BackpressureInjector(
             running, self, random.Random(f'signal {seed}')
         )
@@ -123,8 +123,10 @@
             # A closed connection guarantees nothing; the replicas know what ran.
             status = 0
         seconds = clocks.now() - began
-        self.report.asked.append(
-            promises.Asked(id, kind, key, began, status, body, seconds, echoed_id, router)
+        self.report.outcomes.append(
+            invariants.RequestOutcome(
+                id, kind, key, began, status, body, seconds, echoed_id, router
+            )
         )
 
     async def _inject_faults(self, ends_at: float) -> None:
@@ -165,17 +167,17 @@
         chosen.faults.unreachable = True
         await asyncio.sleep(self._rng.uniform(0.2, 1.5))
         chosen.faults.unreachable = False
-        self._disturbances.append(promises.Disturbance(chosen.id, began, clocks.now()))
+        self._disturbances.append(invariants.Disturbance(chosen.id, began, clocks.now()))
 
     async def _replace_replica(self) -> None:
         chosen = self._pick()
         chosen.id = f'{chosen.id}-again'
         now = clocks.now()
-        self._disturbances.append(promises.Disturbance(chosen.id, now, now + REPLACEMENT_SECONDS))
+        self._disturbances.append(invariants.Disturbance(chosen.id, now, now + REPLACEMENT_SECONDS))
         self._running.replicas = {r.id: r for r in self._running.replicas.values()}
-        self._running.record(chosen.id)
+        self._running.write_entry(chosen.id)
         await asyncio.sleep(self._rng.uniform(0.0, 0.5))
-        self._running.meta.remove(names.REPLICA_PREFIX + chosen.id.removesuffix('-again'))
+        self._running.store.remove(names.REPLICA_PREFIX + chosen.id.removesuffix('-again'))
 
     async def _drain_replica(self) -> None:
         await self.begin_replacement(self._pick())
@@ -188,7 +190,7 @@
         )
         self._running.add_replica(fresh)
         chosen.state = 'draining'
-        self._running.record(chosen.id)
+        self._running.write_entry(chosen.id)
 
     async def _take_store_down(self) -> None:
         self._running.faults.down = True
@@ -201,11 +203,11 @@
         faults.late_effects = self._rng.randint(0, 3)
 
     async def _compact_history(self) -> None:
-        self._running.meta.forget_history()
+        self._running.store.compact_history()
 
     async def _release_version(self) -> None:
         self._version += 1
-        self._running.name_version(self._version)
+        self._running.release_version(self._version)
 
     async def _revoke_key(self) -> None:
         # Not early: half of the requests use this key and are only refused afterwards.
@@ -221,15 +223,15 @@
         self._rng.choice(self._running.routers[:1]).begin_stop()
 
     def _check(self) -> None:
-        self.report.broken += promises.find_broken(
-            self.report.asked,
+        self.report.violations += invariants.find_violations(
+            self.report.outcomes,
             self._running.replicas.values(),
             self._revoked_at,
             self._running.routers[0].options.key_bound,
             ORDER_GAP,
         )
-        self.report.broken += promises.find_broken_signals(
-            self.report.asked,
+        self.report.violations += invariants.find_backpressure_violations(
+            self.report.outcomes,
             self._running.replicas.values(),
             self._backpressure.limits,
             self._disturbances,
@@ -255,7 +257,7 @@
     broken = 0
     for number in range(seed, seed + count):
         report = asyncio.run(play(number, seconds, rate, asks=asks))
-        broken += bool(report.broken)
+        broken += bool(report.violations)
         print(report.render(), flush=True)
     sys.exit(1 if broken else 0)
 
--- a/passpier/standins/platform/proxy.py
+++ b/passpier/standins/platform/proxy.py
@@ -21,7 +21,7 @@
 """Packet filter with one instruction, which keeps 0 bytes of each packet."""
 
 
-class Way(enum.Enum):
+class Direction(enum.Enum):
     """A direction of bytes through the proxy."""
 
     OUT = 'out'
@@ -39,7 +39,7 @@
     def __init__(self, target: str) -> None:
         self.target = target
         self.delay = 0.0
-        self.cut: set[Way] = set()
+        self.cut: set[Direction] = set()
         self.address = ''
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -92,14 +92,14 @@
             self._tasks.discard(task)
 
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await self._hold(Way.OUT)
+        await self._hold(Direction.OUT)
         host, _, port = self.target.rpartition(':')
         there, back = await asyncio.open_connection(host, int(port))
         self._writers.add(back)
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(reader, back, Way.OUT))
-                group.create_task(self._pump(there, writer, Way.BACK))
+                group.create_task(self._pump(reader, back, Direction.OUT))
+                group.create_task(self._pump(there, writer, Direction.BACK))
         except* OSError:
             # One side was reset, so the other one is reset, too.
             _reset(writer)
@@ -108,7 +108,7 @@
             self._writers.discard(back)
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Way
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Direction
     ) -> None:
         while data := await reader.read(CHUNK_BYTES):
             await self._hold(way)
@@ -119,7 +119,7 @@
         with contextlib.suppress(OSError):
             writer.close()
 
-    async def _hold(self, way: Way) -> None:
+    async def _hold(self, way: Direction) -> None:
         if self.delay:
             await asyncio.sleep(self.delay)
         while way in self.cut:
--- a/passpier/standins/platform/replica.py
+++ b/passpier/standins/platform/replica.py
@@ -107,16 +107,16 @@
 
     id: str
     at: float
-    life: int = 1
+    process_number: int = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Said:
+class BackpressureSignal:
     """A backpressure signal in a response: a limit, the leaving flag or a backoff."""
 
     id: str
     at: float
-    life: int
+    process_number: int
     limit: float | None = None
     leaving: bool = False
     backoff: float = 0.0
@@ -132,15 +132,15 @@
     model: str = ''
     version: int = 1
     slots: int = 16
-    work: float = 0.01
-    events: int = 5
+    work_seconds: float = 0.01
+    event_count: int = 5
     event_bytes: int = 0
     """Spaces that are appended to each event of a stream."""
 
     slowdown: float = 1.0
     """Factor by which work takes longer, including work in progress."""
 
-    load: float = 0.2
+    load_seconds: float = 0.2
     """Seconds that loading new weights takes."""
 
     event_pause: float = EVENT_PAUSE
@@ -153,10 +153,10 @@
     """Port that it listens on; the same after a restart."""
 
     state: str = 'ready'
-    born: int = dataclasses.field(default_factory=read_unix_ms)
+    started_ms: int = dataclasses.field(default_factory=read_unix_ms)
     """Start of the current process in Unix milliseconds."""
 
-    life: int = 1
+    process_number: int = 1
     """Number of the current process, increased by each crash."""
 
     active: int = 0
@@ -166,7 +166,7 @@
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
     """Requests that were received, run or not."""
 
-    said: list[Said] = dataclasses.field(default_factory=list)
+    signals: list[BackpressureSignal] = dataclasses.field(default_factory=list)
     """Backpressure signals that were sent."""
 
     misdirected: int = 0
@@ -177,7 +177,7 @@
     finished: list[str] = dataclasses.field(default_factory=list)
     """Requests that were answered completely."""
 
-    dropped: list[str] = dataclasses.field(default_factory=list)
+    abandoned: list[str] = dataclasses.field(default_factory=list)
     """Requests whose caller disconnected."""
 
     abandoned_at: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -186,10 +186,10 @@
     worked_until: dict[str, float] = dataclasses.field(default_factory=dict)
     """When the work on each request ended or its caller disconnected."""
 
-    broken_off: set[str] = dataclasses.field(default_factory=set)
+    aborted: set[str] = dataclasses.field(default_factory=set)
     """Requests whose connections the replica itself closed."""
 
-    taken: list[tuple[float, dict[str, object]]] = dataclasses.field(default_factory=list)
+    accepted_orders: list[tuple[float, dict[str, object]]] = dataclasses.field(default_factory=list)
     """Accepted orders with the times at which they arrived."""
 
     cache_events: list[list[object]] = dataclasses.field(default_factory=list)
@@ -202,13 +202,13 @@
     on_crash: Callable[[], object] = lambda: None
     """Called after such a request has crashed the replica."""
 
-    ended_by: list[tuple[str, float]] = dataclasses.field(default_factory=list)
+    crashed_by: list[tuple[str, float]] = dataclasses.field(default_factory=list)
     """Requests that have crashed the replica, with the times of the crashes."""
 
     server: Server | None = dataclasses.field(default=None, repr=False)
 
     @property
-    def asked(self) -> int:
+    def arrival_count(self) -> int:
         """Number of requests that were received, run or not."""
         return len(self.arrivals)
 
@@ -220,7 +220,7 @@
 
     def crash(self) -> None:
         """End the current process: reset its connections and discard its state."""
-        self.life += 1
+        self.process_number += 1
         self.active = 0
         self.orders = 0
         self.loading = False
@@ -238,7 +238,7 @@
         """
         if self.server is not None:
             self.crash()
-        self.born = max(read_unix_ms(), self.born + 1) if born is None else born
+        self.started_ms = max(read_unix_ms(), self.started_ms + 1) if born is None else born
         self.state = 'ready'
         if version is not None:
             self.version = version
@@ -265,7 +265,7 @@
             'cold_remaining_ms': 0,
             'models': [{'name': self.model, 'version': self.version}] if self.model else [],
             'sequence': 1,
-            'born': self.born,
+            'born': self.started_ms,
         }
 
 
@@ -299,7 +299,7 @@
 class _Handler(tornado.web.RequestHandler):
     def initialize(self, replica: Replica) -> None:
         self.replica = replica
-        self._life = replica.life
+        self._life = replica.process_number
 
     async def prepare(self) -> None:
         while self.replica.faults.unreachable:
@@ -319,19 +319,21 @@
             self.set_header(names.LEAVING, '1')
         backoff = float(self._headers.get('Retry-After', 0.0))
         if self.id and (faults.limit is not None or faults.leaves or backoff):
-            said = Said(self.id, clocks.now(), self._life, faults.limit, faults.leaves, backoff)
-            self.replica.said.append(said)
+            said = BackpressureSignal(
+                self.id, clocks.now(), self._life, faults.limit, faults.leaves, backoff
+            )
+            self.replica.signals.append(said)
 
     @property
     def is_alive(self) -> bool:
         """Whether the process that received the request is still running."""
-        return self._life == self.replica.life
+        return self._life == self.replica.process_number
 
     async def pause(self, seconds: float) -> None:
         """Sleep; abort the request if its process has crashed meanwhile."""
         await asyncio.sleep(seconds)
         if not self.is_alive:
-            self.replica.broken_off.add(self.id)
+            self.replica.aborted.add(self.id)
             raise tornado.web.Finish
 
     async def simulate_work(self, seconds: float) -> None:
@@ -356,7 +358,7 @@
         return bool(left)
 
     def reset(self) -> None:
-        self.replica.broken_off.add(self.id)
+        self.replica.aborted.add(self.id)
         _reset(self.request.connection.stream)  # type: ignore[union-attr]
         raise tornado.web.Finish
 
@@ -373,7 +375,7 @@
                 'sequence': replica.orders,
                 'queued': 0,
                 'active': replica.active,
-                'born': replica.born,
+                'born': replica.started_ms,
             }
         )
 
@@ -384,11 +386,11 @@
         since = int(self.get_argument('since', '0'))
         self.write(
             {
-                'boot_epoch': replica.born,
+                'boot_epoch': replica.started_ms,
                 'next_token': len(replica.cache_events) + 1,
                 'lost': False,
                 'events': replica.cache_events[max(0, since - 1) :],
-                'born': replica.born,
+                'born': replica.started_ms,
             }
         )
 
@@ -404,13 +406,13 @@
         elif replica.version == body['version']:
             self.set_status(200)
         else:
-            replica.taken.append((clocks.now(), body))
+            replica.accepted_orders.append((clocks.now(), body))
             replica.orders += 1
             self.set_status(202)
             if not self.take_fault('ignore_order'):
                 replica.loading = True
                 loop = asyncio.get_running_loop()
-                loop.call_later(replica.load, self._finish_load, body['version'])
+                loop.call_later(replica.load_seconds, self._finish_load, body['version'])
 
     def _finish_load(self, version: int) -> None:
         if not self.is_alive:
@@ -474,7 +476,9 @@
         try:
             while replica.faults.silent:
                 await self.pause(0.01)
-            await self.simulate_work(replica.work + (0.0 if replica.model else self._extra_seconds))
+            await self.simulate_work(
+                replica.work_seconds + (0.0 if replica.model else self._extra_seconds)
+            )
             await self._answer(id)
         finally:
             replica.worked_until.setdefault(id, clocks.now())
@@ -483,7 +487,7 @@
 
     async def _crash_replica(self, id: str) -> None:
         await self.pause(CRASH_AFTER)
-        self.replica.ended_by.append((id, clocks.now()))
+        self.replica.crashed_by.append((id, clocks.now()))
         self.replica.crash()
         self.replica.on_crash()
         raise tornado.web.Finish
@@ -494,7 +498,7 @@
             return
         id = self.id
         now = clocks.now()
-        self.replica.dropped.append(id)
+        self.replica.abandoned.append(id)
         self.replica.abandoned_at.setdefault(id, now)
         self.replica.worked_until.setdefault(id, now)
 
@@ -524,8 +528,8 @@
         self.replica.cache_prompt(salt, self.request.headers.get(names.PREFIX_HASHES, ''))
         first = int(self.request.headers.get(names.LAST_EVENT_ID) or -1) + 1
         cut = self.take_fault('cut')
-        pause = self.replica.event_pause + self._extra_seconds / self.replica.events
-        for number in range(first, self.replica.events):
+        pause = self.replica.event_pause + self._extra_seconds / self.replica.event_count
+        for number in range(first, self.replica.event_count):
             if cut and number == first + 1:
                 self.write(f'id: {number}\nda')
                 await self.flush()
--- a/passpier/standins/platform/lives.py
+++ b/passpier/standins/platform/restarts.py
@@ -6,7 +6,7 @@
 import random
 
 from passpier import clocks
-from passpier.standins.platform import fault_injection, foreign, promises, replica
+from passpier.standins.platform import fault_injection, foreign_entries, invariants, replica
 
 DOWNTIMES = (0.3, 2.0, 10.0)
 """Possible seconds between the crash and the restart of a replica."""
@@ -66,7 +66,7 @@
         chosen.crash()
         if away > ENTRY_TTL and self._rng.random() < 0.5:
             await asyncio.sleep(ENTRY_TTL)
-            self._targets.deployment.remove_replica(chosen.id)
+            self._targets.deployment.remove_entry(chosen.id)
             away -= ENTRY_TTL
         await asyncio.sleep(away)
         self._targets.deployment.restart_replica(chosen.id, version if chosen.model else None)
@@ -100,7 +100,7 @@
         faults: fault_injection.FaultInjector,
         rng: random.Random,
     ) -> None:
-        self.overwritten: list[promises.Unnamed] = []
+        self.overwritten: list[invariants.OverwrittenEntry] = []
         self._targets = targets
         self._faults = faults
         self._rng = rng
@@ -125,7 +125,9 @@
         chosen = self._rng.choice(list(running.replicas.values()))
         if not running.has_entry(chosen.id):
             return
-        kind = self._rng.choice(list(foreign.build_values(chosen.render_entry())))
+        kind = self._rng.choice(
+            list(foreign_entries.build_malformed_entries(chosen.render_entry()))
+        )
         seconds = self._rng.uniform(*OVERWRITE_DURATIONS)
         self._faults.log_fault(
             f'the entry of {chosen.id} is overwritten ({kind}) for {seconds:.2f} s'
@@ -134,6 +136,6 @@
         began = clocks.now()
         while clocks.now() < began + seconds and running.get_entry_revision(chosen.id) == revision:
             await asyncio.sleep(0.01)
-        self.overwritten.append(promises.Unnamed(chosen.id, began, clocks.now()))
+        self.overwritten.append(invariants.OverwrittenEntry(chosen.id, began, clocks.now()))
         if running.get_entry_revision(chosen.id) == revision:
-            running.record(chosen.id)
+            running.write_entry(chosen.id)
--- a/passpier/standins/platform/routers.py
+++ b/passpier/standins/platform/routers.py
@@ -110,17 +110,17 @@
         draft.replace(self._settings)
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the process runs."""
         return self.popen.poll() is None
 
-    def hears(self, number: signal.Signals) -> bool:
+    def handles_signal(self, number: signal.Signals) -> bool:
         """Return whether the process ignores or handles a signal.
 
         It does so as soon as its own code runs. Before that, while the interpreter starts for some
         tens of milliseconds, the signal terminates the process, and no program can prevent it.
         """
-        if not self.runs:
+        if not self.is_running:
             return False
         status = pathlib.Path(f'/proc/{self.popen.pid}/status').read_text()
         masks = [line.split()[1] for line in status.splitlines() if line.startswith(SIGNAL_MASKS)]
@@ -128,7 +128,7 @@
 
     async def close(self) -> None:
         """Kill the process and stop the proxies."""
-        if self.runs:
+        if self.is_running:
             self.send(signal.SIGCONT)
             self.kill()
         await self.store_link.stop()
--- a/passpier/standins/platform/soak.py
+++ b/passpier/standins/platform/soak.py
@@ -28,9 +28,9 @@
     clients,
     deployment,
     fault_injection,
-    lives,
-    promises,
+    invariants,
     replica,
+    restarts,
     routers,
     stops,
 )
@@ -73,19 +73,19 @@
     """The result of a run."""
 
     seed: int
-    asked: list[promises.Asked] = dataclasses.field(default_factory=list)
+    outcomes: list[invariants.RequestOutcome] = dataclasses.field(default_factory=list)
     faults: list[tuple[float, str]] = dataclasses.field(default_factory=list)
-    broken: list[str] = dataclasses.field(default_factory=list)
-    broken_signals: list[str] = dataclasses.field(default_factory=list)
+    violations: list[str] = dataclasses.field(default_factory=list)
+    backpressure_violations: list[str] = dataclasses.field(default_factory=list)
     """The violations of backpressure signals, which `broken` contains as well."""
 
     def render(self) -> str:
         """Return the report as text."""
-        counts = collections.Counter(a.status for a in self.asked)
+        counts = collections.Counter(a.status for a in self.outcomes)
         told = ', '.join(f'{status}: {count}' for status, count in sorted(counts.items()))
         lines = [f'seed {self.seed}: {len(self.faults)} troubles; answers {told}']
-        lines += [f'  broken: {text}' for text in self.broken]
-        if self.broken:
+        lines += [f'  broken: {text}' for text in self.violations]
+        if self.violations:
             lines += [f'  {at:6.2f} s {what}' for at, what in self.faults]
         return '\n'.join(lines)
 
@@ -109,10 +109,10 @@
             self._targets, self._faults, random.Random(f'silence {seed}')
         )
         self._stops = stops.StopInjector(self._targets, self._faults, random.Random(f'stop {seed}'))
-        self._restarts = lives.RestartInjector(
+        self._restarts = restarts.RestartInjector(
             self._targets, self._faults, random.Random(f'life {seed}')
         )
-        self._foreign_entries = lives.ForeignEntryInjector(
+        self._foreign_entries = restarts.ForeignEntryInjector(
             self._targets, self._faults, random.Random(f'foreign {seed}')
         )
         self._backpressure = backpressure.BackpressureInjector(
@@ -138,48 +138,49 @@
 
     def _check_invariants(self) -> None:
         """Add every violation of an invariant to the report."""
-        self.report.asked = self._clients.outcomes
+        self.report.outcomes = self._clients.outcomes
         self.report.faults = self._faults.applied
-        self.report.broken += self._faults.violations
-        self.report.broken += promises.find_broken(
-            self.report.asked,
+        self.report.violations += self._faults.violations
+        self.report.violations += invariants.find_violations(
+            self.report.outcomes,
             self._deployment.replicas.values(),
             self._faults.revoked,
             routers.KEY_BOUND,
             routers.ORDER_GAP,
             self._faults.resumptions,
         )
-        self.report.broken += promises.find_outdated(
-            self.report.asked,
+        self.report.violations += invariants.find_outdated_runs(
+            self.report.outcomes,
             self._deployment.replicas.values(),
             self._targets.released,
             routers.VERSION_BOUND,
             self._faults.disturbances,
         )
-        self.report.broken += promises.find_lost(
-            self.report.asked,
+        self.report.violations += invariants.find_lost_requests(
+            self.report.outcomes,
             self._deployment.replicas.values(),
             self._faults.stops,
             routers.STOP_BOUND,
             self._faults.unplanned,
         )
-        self.report.broken += promises.find_unnamed(
-            self.report.asked,
+        self.report.violations += invariants.find_runs_after_overwrite(
+            self.report.outcomes,
             self._deployment.replicas.values(),
             self._foreign_entries.overwritten,
             self._faults.disturbances,
             self._faults.unplanned,
         )
-        self.report.broken_signals = promises.find_broken_signals(
-            self.report.asked,
+        self.report.backpressure_violations = invariants.find_backpressure_violations(
+            self.report.outcomes,
             self._deployment.replicas.values(),
             self._backpressure.limits,
             self._faults.disturbances,
         )
-        self.report.broken += self.report.broken_signals
-        if self._deployment.decoy.asked:
-            self.report.broken.append(
-                f'{self._deployment.decoy.asked} requests were sent to entries of other writers'
+        self.report.violations += self.report.backpressure_violations
+        if self._deployment.decoy.arrival_count:
+            self.report.violations.append(
+                f'{self._deployment.decoy.arrival_count} requests were sent to entries of other '
+                'writers'
             )
 
     async def _start(self) -> None:
@@ -235,24 +236,24 @@
         for target in self._deployment.replicas.values():
             target.faults = replica.Faults()
         for router in self._routers:
-            if not router.runs:
-                self.report.broken.append(f'{router.name} exited by itself')
+            if not router.is_running:
+                self.report.violations.append(f'{router.name} exited by itself')
         if not await self._wait_ready(RECOVERY_SECONDS):
-            self.report.broken.append(
+            self.report.violations.append(
                 f'not all routers are ready {RECOVERY_SECONDS} s after the last fault'
             )
         ends_at = clocks.now() + RECOVERY_SECONDS
         while clocks.now() < ends_at and self._list_outdated():
             await asyncio.sleep(0.1)
-        self.report.broken += [f'{id} has old weights' for id in self._list_outdated()]
+        self.report.violations += [f'{id} has old weights' for id in self._list_outdated()]
         for number, router in enumerate(self._routers):
             try:
                 reply = await self._deployment.ask_at(router.caller, '/safe/x', f'end{number}')
             except exchanges.ExchangeError as error:
-                self.report.broken.append(f'{router.name} answers nothing in the end: {error}')
+                self.report.violations.append(f'{router.name} answers nothing in the end: {error}')
                 continue
             if reply.status != 200:
-                self.report.broken.append(f'{router.name} answers {reply.status} in the end')
+                self.report.violations.append(f'{router.name} answers {reply.status} in the end')
 
     def _list_outdated(self) -> list[str]:
         return [
@@ -272,7 +273,7 @@
         broken = True
         try:
             report = await Soak(plan, folder).run()
-            broken = bool(report.broken)
+            broken = bool(report.violations)
         finally:
             if broken and logs:
                 kept = pathlib.Path(logs) / f'seed-{plan.seed}'
@@ -298,7 +299,7 @@
     for number in range(seed, seed + count):
         plan = Plan(number, seconds, routers, rate, planned, lives, asks)
         report = asyncio.run(soak(plan, logs))
-        broken += bool(report.broken)
+        broken += bool(report.violations)
         print(report.render(), flush=True)
     sys.exit(1 if broken else 0)
 
--- a/passpier/standins/platform/stops.py
+++ b/passpier/standins/platform/stops.py
@@ -7,7 +7,7 @@
 import signal
 
 from passpier import clocks
-from passpier.standins.platform import fault_injection, promises, routers
+from passpier.standins.platform import fault_injection, invariants, routers
 
 ROUND_INTERVALS = (0.5, 4.0)
 """Minimum and maximum seconds between two rounds of stops."""
@@ -79,7 +79,7 @@
         if pause:
             router.send(signal.SIGSTOP)
             await asyncio.sleep(before)
-        stop = promises.Stop(router.name, clocks.now(), paused_since)
+        stop = invariants.Stop(router.name, clocks.now(), paused_since)
         router.send(signal.SIGTERM)
         if pause:
             await asyncio.sleep(pause - before)
@@ -99,12 +99,12 @@
 
     async def _signal_again(self, router: routers.RouterProcess, seconds: float) -> None:
         await asyncio.sleep(seconds)
-        if seconds and router.runs:
+        if seconds and router.is_running:
             router.send(signal.SIGTERM)
 
     async def _reload(self, router: routers.RouterProcess, seconds: float) -> None:
         await asyncio.sleep(seconds)
-        if seconds and router.hears(signal.SIGHUP):
+        if seconds and router.handles_signal(signal.SIGHUP):
             router.write_settings()
             router.send(signal.SIGHUP)
 
--- a/passpier/standins/processes.py
+++ b/passpier/standins/processes.py
@@ -215,7 +215,7 @@
             return False
 
 
-class Trial:
+class ProcessGroup:
     """A group of processes that are killed together."""
 
     def __init__(self, folder: pathlib.Path) -> None:
@@ -237,10 +237,10 @@
 
 
 @contextlib.contextmanager
-def run_trial() -> Iterator[Trial]:
+def run_process_group() -> Iterator[ProcessGroup]:
     """Yield a trial; kill its processes at the end of the context."""
     with tempfile.TemporaryDirectory(prefix='passpier-') as folder:
-        trial = Trial(pathlib.Path(folder))
+        trial = ProcessGroup(pathlib.Path(folder))
         try:
             yield trial
         finally:
--- a/passpier/standins/quickstart.py
+++ b/passpier/standins/quickstart.py
@@ -14,7 +14,7 @@
 
 def main() -> None:
     """Start everything, send two requests, explain the cache hit of the second one, stop."""
-    with processes.run_trial() as trial:
+    with processes.run_process_group() as trial:
         daemons = start(trial)
         apply(trial, daemons[0])
         first = ask(daemons[0], STATION_LOG + ' Any squall now?')
@@ -29,7 +29,7 @@
                 sys.exit(1)
 
 
-def start(trial: processes.Trial) -> list[processes.DaemonProcess]:
+def start(trial: processes.ProcessGroup) -> list[processes.DaemonProcess]:
     """Start stand-ins and two daemons."""
     folder = trial.folder
     store = processes.Standin('store', 'store', folder)
@@ -50,7 +50,7 @@
     return daemons
 
 
-def apply(trial: processes.Trial, daemon: processes.DaemonProcess) -> None:
+def apply(trial: processes.ProcessGroup, daemon: processes.DaemonProcess) -> None:
     """Apply the example configuration through the command line."""
     addresses = {}
     for process in trial.processes:
--- a/passpier/standins/slopes.py
+++ b/passpier/standins/slopes.py
@@ -20,7 +20,7 @@
 
 def measure_claims() -> None:
     """Measure the latency of claims in a store process by number of concurrent claims."""
-    with processes.run_trial() as trial:
+    with processes.run_process_group() as trial:
         standin = processes.Standin('store', 'store', trial.folder)
         trial.add(standin)
         processes.wait_for_port(standin.address)
--- a/passpier/standins/suspension.py
+++ b/passpier/standins/suspension.py
@@ -17,7 +17,7 @@
         self._read = time.clock_gettime
         replace(time, 'clock_gettime', self._read_ahead)
 
-    def happen(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Simulate a suspension of the VM that has just ended and took `seconds`."""
         self._seconds += seconds
 
--- a/passpier/tests/clocks_tests.py
+++ b/passpier/tests/clocks_tests.py
@@ -33,7 +33,7 @@
     suspended = suspension.Suspension(monkeypatch.setattr)
     monotonic_before = time.monotonic()
     before = clocks.now()
-    suspended.happen(5.0)
+    suspended.advance(5.0)
     passed = clocks.now() - before
     assert passed >= 5.0
     assert passed - (time.monotonic() - monotonic_before) <= 5.0
@@ -43,10 +43,10 @@
     suspended = suspension.Suspension(monkeypatch.setattr)
     detector = clocks.SuspensionDetector()
     assert not detector.poll()
-    suspended.happen(0.3)
+    suspended.advance(0.3)
     assert detector.poll() == pytest.approx(0.3, abs=0.05)
     assert not detector.poll()
-    suspended.happen(20.0)
+    suspended.advance(20.0)
     assert detector.poll() == pytest.approx(20.0, abs=0.05)
 
 
@@ -58,7 +58,7 @@
     async def run() -> None:
         due = asyncio.get_running_loop().create_future()
         asyncio.get_running_loop().call_later(60.0, due.set_result, None)
-        suspended.happen(61.0)
+        suspended.advance(61.0)
         for _ in range(10):
             await asyncio.sleep(0.01)
         assert due.done()
--- a/passpier/tests/commands/main_tests.py
+++ b/passpier/tests/commands/main_tests.py
@@ -65,7 +65,7 @@
 
 
 def test_invalid_files_and_unreachable_daemons(fleet: fleets.Fleet) -> None:
-    bad = fleet.trial.folder / 'bad.yaml'
+    bad = fleet.process_group.folder / 'bad.yaml'
     bad.write_text('fleet: f\nextra: 1\nservices: [{name: s, pool: p}]\n')
     refused = run(fleet, 'apply', str(bad))
     assert refused.returncode == 1
--- a/passpier/tests/core/throttles_tests.py
+++ b/passpier/tests/core/throttles_tests.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from passpier.core import throttles
-from passpier.standins.platform import promises
+from passpier.standins.platform import invariants
 
 STEP = 0.02
 SECONDS = 16.0
@@ -39,7 +39,7 @@
 def test_all_daemons_together_keep_a_limit_and_can_use_it(limit: float, daemons: int) -> None:
     known = build_throttles(limit, list_names(daemons))
     sent = send_greedily(known, SECONDS, 0.0)
-    assert promises.find_over_limit(sent, limit) == []
+    assert invariants.find_limit_excess(sent, limit) == []
     assert len(sent) >= int(0.9 * limit * SECONDS) - len(known)
 
 
@@ -48,7 +48,7 @@
     limit: float, daemons: int, rest: float
 ) -> None:
     known = build_throttles(limit, list_names(daemons), -rest)
-    assert promises.find_over_limit(send_greedily(known, SECONDS, 0.0), limit) == []
+    assert invariants.find_limit_excess(send_greedily(known, SECONDS, 0.0), limit) == []
 
 
 @given(LIMITS, st.integers(2, 40), st.integers(0, 2**16))
@@ -67,7 +67,7 @@
         share = throttles.compute_share('llm-0', limit, own, seen)
         if share.rate:
             known.append(throttles.Throttle(share, -10.0))
-    assert promises.find_over_limit(send_greedily(known, SECONDS, 0.0), limit) == []
+    assert invariants.find_limit_excess(send_greedily(known, SECONDS, 0.0), limit) == []
 
 
 def test_daemons_agree_on_the_senders() -> None:
--- a/passpier/tests/daemon/configuration_tests.py
+++ b/passpier/tests/daemon/configuration_tests.py
@@ -81,17 +81,19 @@
 def test_a_daemon_without_the_store_follows_its_peers(fleet: fleets.Fleet) -> None:
     seeds = ['--seeds', ','.join(d.peer for d in fleet.daemons)]
     unused_address = f'127.0.0.1:{processes.pick_port()}'
-    isolated = processes.DaemonProcess('vm-9', fleet.trial.folder, unused_address, 'hall-3', seeds)
-    fleet.trial.add(isolated)
+    isolated = processes.DaemonProcess(
+        'vm-9', fleet.process_group.folder, unused_address, 'hall-3', seeds
+    )
+    fleet.process_group.add(isolated)
     processes.wait_until(isolated.is_ready, 'vm-9 ready')
     base = fleet_tests.get_revision(fleet)
     assert isolated.rpc('show')['result']['revision'] == base
-    assert fleets.complete(isolated.entry, 'cut off').whole
+    assert fleets.complete(isolated.entry, 'cut off').is_complete
     fleet.apply(fleet_tests.change_deadline(fleet, 13_500), base)
     processes.wait_until(
         lambda: isolated.rpc('show')['result']['revision'] == base + 1, 'followed', 10
     )
-    assert fleets.complete(isolated.entry, 'still cut off').whole
+    assert fleets.complete(isolated.entry, 'still cut off').is_complete
     isolated.kill()
     processes.wait_until(
         lambda: not fleet_tests.lists_alive(fleet, 'vm-9'), 'vm-9 is found dead', 20
--- a/passpier/tests/daemon/crashes_tests.py
+++ b/passpier/tests/daemon/crashes_tests.py
@@ -29,7 +29,7 @@
     """Guards against daemons that send such a prompt to one engine after the other."""
     for number in range(24):
         # Both daemons have to know the current processes of all engines.
-        assert fleet.complete(number % 2, f'hello {number}').whole
+        assert fleet.complete(number % 2, f'hello {number}').is_complete
     answers = [fleet.complete(n % 2, DEADLY) for n in range(12)]
     assert answers[-1].status == 503
     assert answers[-1].error['code'] == 'suspected'
--- a/passpier/tests/daemon/cuts_tests.py
+++ b/passpier/tests/daemon/cuts_tests.py
@@ -22,7 +22,7 @@
 from passpier.config import schema, settings
 from passpier.core import members, shares
 from passpier.daemon import fleet, limits, metrics, storage, tasks
-from passpier.standins import network, virtual
+from passpier.standins import network, virtual_time
 
 LIMIT = 12
 DAEMONS = 5
@@ -290,13 +290,13 @@
 
 def test_no_partition_lets_an_account_exceed_its_limit() -> None:
     for seed in range(SEEDS):
-        max_running, usable = virtual.run(simulate(seed))
+        max_running, usable = virtual_time.run(simulate(seed))
         assert (max_running, usable) == (LIMIT, LIMIT), f'seed {seed}'
 
 
 def test_no_lost_answer_of_the_store_lets_an_account_exceed_its_limit() -> None:
     for seed in range(SEEDS // 4):
-        max_running, usable = virtual.run(simulate(seed, loss=0.3))
+        max_running, usable = virtual_time.run(simulate(seed, loss=0.3))
         assert (max_running, usable) == (LIMIT, LIMIT), f'seed {seed}'
 
 
@@ -316,32 +316,32 @@
 def check_exceeded() -> None:
     with pytest.raises(AssertionError, match='of 12 at'):
         for seed in range(40):
-            virtual.run(simulate(seed))
+            virtual_time.run(simulate(seed))
 
 
 def test_a_dropped_daemon_uses_no_units_when_it_reaches_the_store_again() -> None:
     """Guards against treating the store's first response as a confirmation of the old units."""
-    assert virtual.run(simulate(76)) == (LIMIT, LIMIT)
+    assert virtual_time.run(simulate(76)) == (LIMIT, LIMIT)
 
 
 def test_a_daemon_that_rejoins_does_not_use_its_old_units() -> None:
     """Guards against using the old units after installing a later epoch that includes it again."""
-    assert virtual.run(simulate(15)) == (LIMIT, LIMIT)
+    assert virtual_time.run(simulate(15)) == (LIMIT, LIMIT)
 
 
 def test_a_daemon_that_was_isolated_for_long_does_not_block_takeovers() -> None:
     """Guards against an oldest daemon that must not drop a killed one, while no other tries to."""
-    assert virtual.run(simulate(265)) == (LIMIT, LIMIT)
+    assert virtual_time.run(simulate(265)) == (LIMIT, LIMIT)
 
 
 def test_a_moving_partition_allows_no_early_takeover() -> None:
     """Those that drop a holder last heard a third daemon just before it heard that holder again."""
-    assert virtual.run(simulate(324)) == (LIMIT, LIMIT)
+    assert virtual_time.run(simulate(324)) == (LIMIT, LIMIT)
 
 
 def test_the_units_of_a_dead_daemon_are_reassigned() -> None:
     """Guards against a proposer that was dropped itself, and so must not drop the dead daemon."""
-    assert virtual.run(simulate(257)) == (LIMIT, LIMIT)
+    assert virtual_time.run(simulate(257)) == (LIMIT, LIMIT)
 
 
 def test_a_long_store_outage_stops_no_daemon_while_most_are_alive() -> None:
@@ -355,7 +355,7 @@
         return simulation.count_usable()
 
     # The units of the two killed daemons are reassigned only when the store is back.
-    assert virtual.run(run()) >= LIMIT * 3 // DAEMONS
+    assert virtual_time.run(run()) >= LIMIT * 3 // DAEMONS
 
 
 def test_units_of_killed_daemons_become_usable_again() -> None:
@@ -368,4 +368,4 @@
         await simulation.run(3 * shares.GONE_SECONDS)
         return simulation.count_usable()
 
-    assert virtual.run(run()) == LIMIT
+    assert virtual_time.run(run()) == LIMIT
--- a/passpier/tests/daemon/dispatcher_tests.py
+++ b/passpier/tests/daemon/dispatcher_tests.py
@@ -14,7 +14,7 @@
 from passpier.config import declarations
 from passpier.core import attempts, choice, replicas
 from passpier.daemon import calls, dispatcher, metrics, upstreams
-from passpier.standins import virtual
+from passpier.standins import virtual_time
 
 SLOTS = 2
 CAPACITY = 3
@@ -69,7 +69,7 @@
             call_dispatcher.end(result)
         assert not replica.dispatches
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 @pytest.mark.parametrize('placed_first', [False, True])
@@ -94,7 +94,7 @@
         assert not replica.dispatches
         assert not call_dispatcher.count_queued()
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 def test_an_unreachable_deadline_is_refused_at_once_with_a_retry_delay() -> None:
@@ -118,7 +118,7 @@
             task.cancel()
         await asyncio.gather(*waiting, return_exceptions=True)
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 def test_an_expired_deadline_is_not_reported_as_overload() -> None:
@@ -133,7 +133,7 @@
         assert isinstance(refused, exceptions.Failure)
         assert refused.code is exceptions.Code.DEADLINE
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 def test_a_request_whose_replica_crashed_waits_for_another() -> None:
@@ -162,7 +162,7 @@
             call_dispatcher.end(placed)
         assert not replica.dispatches
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 def test_a_call_without_upstreams_is_refused_at_once() -> None:
@@ -173,7 +173,7 @@
         assert isinstance(refused, exceptions.Failure)
         assert refused.code is exceptions.Code.NO_UPSTREAM
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 def test_the_log_line_of_a_decision_does_not_grow_with_the_pool() -> None:
@@ -191,4 +191,4 @@
         assert line['candidates'][0]['upstream'] == placement.replica.name
         call_dispatcher.end(placement)
 
-    virtual.run(run())
+    virtual_time.run(run())
--- a/passpier/tests/daemon/events_tests.py
+++ b/passpier/tests/daemon/events_tests.py
@@ -32,7 +32,7 @@
     for engine in fleet.engines:
         engine.set_faults(gap_percent=gap_percent)
     for number in range(4):
-        assert fleet.complete(1, f'warm {gap_percent} {number} ' * 40).whole
+        assert fleet.complete(1, f'warm {gap_percent} {number} ' * 40).is_complete
     before = count_view(fleet)
     for number in range(18):
         if number == 12:
@@ -40,7 +40,7 @@
             for engine in fleet.engines:
                 engine.set_faults(gap_percent=0)
         prefix = ' '.join(f'{gap_percent}.{number} farm {n}' for n in range(120))
-        assert fleet.complete(0, prefix).whole
+        assert fleet.complete(0, prefix).is_complete
     processes.wait_until(lambda: count_view(fleet) >= before + 18 * 5, 'blocks are known', 10)
 
 
--- a/passpier/tests/daemon/faults_tests.py
+++ b/passpier/tests/daemon/faults_tests.py
@@ -28,12 +28,12 @@
     prompt = f'{fault} {position}'
     answer = fleet.complete(0, prompt, 12)
     assert answer.text == path_tests.compute_text(prompt, 12)
-    assert answer.whole
+    assert answer.is_complete
     assert answer.chunks[-1]['usage']['completion_tokens'] == 12
 
 
 def test_streams_of_a_crashed_engine_continue_on_another(fleet: fleets.Fleet) -> None:
-    answers: list[fleets.Answer] = []
+    answers: list[fleets.Response] = []
 
     def send(number: int) -> None:
         answers.append(fleet.complete(0, f'storm {number}', 200))
@@ -48,7 +48,7 @@
         thread.join()
     texts = {path_tests.compute_text(f'storm {n}', 200) for n in range(6)}
     assert {a.text for a in answers} == texts
-    assert all(a.whole for a in answers)
+    assert all(a.is_complete for a in answers)
 
 
 def test_a_frozen_engine_delays_answers_but_loses_none(fleet: fleets.Fleet) -> None:
@@ -57,7 +57,7 @@
         answers = [fleet.complete(0, f'frozen {n}', 4) for n in range(4)]
     finally:
         fleet.engines[0].set_faults(frozen=False)
-    assert all(a.whole for a in answers)
+    assert all(a.is_complete for a in answers)
     assert [a.text for a in answers] == [
         path_tests.compute_text(f'frozen {n}', 4) for n in range(4)
     ]
@@ -102,7 +102,7 @@
     assert answer.status in (502, 503)
     assert answer.error['outcome'] == 'unknown'
     assert not answer.text
-    processes.wait_until(lambda: fleet.complete(0, 'now?').whole, 'right weights again', 10)
+    processes.wait_until(lambda: fleet.complete(0, 'now?').is_complete, 'right weights again', 10)
 
 
 def test_a_paused_daemon_runs_no_key_twice(fleet: fleets.Fleet) -> None:
@@ -111,7 +111,7 @@
     incarnation = home.list_events('serving')[-1]['incarnation']
     key = f'{incarnation}.{uuid_utils.uuid7()}'
     fleet.services[0].set_faults(work=0.5)
-    results: list[fleets.Answer] = []
+    results: list[fleets.Response] = []
     first = threading.Thread(target=lambda: results.append(fleet.call_service(0, key)))
     first.start()
     processes.wait_until(lambda: fleet.count_runs(key) == 1, 'the call runs', 5)
--- a/passpier/tests/daemon/fleet_tests.py
+++ b/passpier/tests/daemon/fleet_tests.py
@@ -32,7 +32,7 @@
         self.fleet = fleet
         self.tokens = tokens
         self.ended = threading.Event()
-        self.answers: list[tuple[str, fleets.Answer]] = []
+        self.answers: list[tuple[str, fleets.Response]] = []
         self.failures: list[Exception] = []
         self.threads = [threading.Thread(target=self.run, args=(n,)) for n in range(callers)]
 
@@ -102,14 +102,14 @@
         # A caller that got this address just before may use it for the lifetime of entries.
         processes.wait_until(lambda: daemon.list_events('drain begins'), 'drain begins')
         late = [fleets.complete(daemon.entry, f'late {n}', 5) for n in range(3)]
-        assert all(a.whole for a in late), [a.body for a in late]
+        assert all(a.is_complete for a in late), [a.body for a in late]
         assert daemon.popen.wait(30) == 0
         count = len(load.answers)
         processes.wait_until(lambda: len(load.answers) > count + 10, 'load goes on')
     assert not load.failures
     for prompt, answer in load.answers:
         assert answer.status == 200, answer.body
-        assert answer.whole
+        assert answer.is_complete
         assert answer.text == path_tests.compute_text(prompt, load.tokens)
     print(f'drain under load: {len(load.answers)} answers, none cut')
     restart(fleet, 1)
@@ -138,7 +138,7 @@
 
 def test_a_killed_daemon_serves_at_once_while_the_store_is_down(fleet: fleets.Fleet) -> None:
     prefix = ' '.join(f'farm {n}' for n in range(300))
-    assert fleet.complete(2, prefix).whole
+    assert fleet.complete(2, prefix).is_complete
     processes.wait_until(lambda: fleet.complete(2, prefix).cached > 400, 'prefix cached', 10)
     fleet.store.set_faults(drop=True)
     try:
@@ -168,7 +168,7 @@
 def test_a_slow_store_slows_no_request(fleet: fleets.Fleet) -> None:
     fleet.store.set_faults(delay=0.7)
     try:
-        assert all(fleet.complete(n % 3, f'slow store {n}').whole for n in range(6))
+        assert all(fleet.complete(n % 3, f'slow store {n}').is_complete for n in range(6))
         base = get_revision(fleet)
         assert fleet.apply(change_deadline(fleet, 13_700), base)['result']['revision'] == base + 1
         print(f'slow store: in force everywhere after {wait_for_all(fleet, base + 1):.2f} s')
@@ -214,7 +214,7 @@
     seconds = clocks.now() - began
     before = sum(leaving.get_counters()['runs'].values())
     for number in range(12):
-        assert fleet.complete(number % 3, f'leaving {signal_name} {number}').whole
+        assert fleet.complete(number % 3, f'leaving {signal_name} {number}').is_complete
     assert sum(leaving.get_counters()['runs'].values()) == before
     print(f'{signal_name}: no new work after {seconds:.2f} s')
     fleet.vms.post('/vms', {f'{leaving.name}-vm': 'live'})
@@ -247,7 +247,9 @@
         count = len(load.answers)
         processes.wait_until(lambda: len(load.answers) > count + 4, 'v2 serves', 10)
     assert not load.failures
-    assert all(a.whole for _, a in load.answers), [a.body for _, a in load.answers if not a.whole]
+    assert all(a.is_complete for _, a in load.answers), [
+        a.body for _, a in load.answers if not a.is_complete
+    ]
     orders = [e.get_counters()['orders'] for e in fleet.engines]
     assert all(1 <= len(o) <= 2 for o in orders)
     placing_daemons = [d for d in fleet.daemons if d.list_events('placement decision')]
@@ -258,7 +260,7 @@
         lambda: {e.get_counters()['weight_version'] for e in fleet.engines} == {'v1'}, 'v1', 60
     )
     fleet.apply(fleet.build_schema(), get_revision(fleet))
-    processes.wait_until(lambda: fleet.complete(0, 'old weights?').whole, 'v1 serves', 10)
+    processes.wait_until(lambda: fleet.complete(0, 'old weights?').is_complete, 'v1 serves', 10)
 
 
 def test_a_limit_holds_over_all_daemons(fleet: fleets.Fleet) -> None:
@@ -268,9 +270,9 @@
     fleet.apply(schema, get_revision(fleet))
     processes.wait_until(fleet.is_settled, 'settled')
     for targets in ([0], [0, 1, 2]):
-        answers: list[fleets.Answer] = []
+        answers: list[fleets.Response] = []
 
-        def ask(number: int, targets: list[int], answers: list[fleets.Answer]) -> None:
+        def ask(number: int, targets: list[int], answers: list[fleets.Response]) -> None:
             target = targets[number % len(targets)]
             answers.append(fleet.complete(target, f'limit {number}', 150))
 
@@ -280,7 +282,7 @@
         for thread in threads:
             thread.join()
         refused = [a for a in answers if a.status == 429]
-        served = [a for a in answers if a.whole]
+        served = [a for a in answers if a.is_complete]
         assert len(served) == 6, [a.error for a in answers if a.status != 200]
         assert len(refused) == 12
         assert all(a.error['outcome'] == 'not_run' for a in refused)
@@ -300,6 +302,6 @@
             processes.wait_until(daemon.is_ready, f'{daemon.name} ready')
         seconds = clocks.now() - began
         calls = sum(fleet.store.get('/stats').values()) - before
-        assert all(fleet.complete(n, 'herd').whole for n in range(6))
+        assert all(fleet.complete(n, 'herd').is_complete for n in range(6))
         print(f'6 restarts at once: all ready in {seconds:.2f} s, {calls / 6:.1f} store calls each')
         assert calls / 6 < 30
--- a/passpier/tests/daemon/limits_tests.py
+++ b/passpier/tests/daemon/limits_tests.py
@@ -10,7 +10,7 @@
 from passpier.config import declarations, directory
 from passpier.core import members
 from passpier.daemon import limits, peers, storage
-from passpier.standins import network, virtual
+from passpier.standins import network, virtual_time
 
 
 def make_member(number: int) -> members.Member:
@@ -37,4 +37,4 @@
         account_limits.book.note_store_contact(clocks.now())
         return (await acquired).is_ok()
 
-    assert virtual.run(run())
+    assert virtual_time.run(run())
--- a/passpier/tests/daemon/loads_tests.py
+++ b/passpier/tests/daemon/loads_tests.py
@@ -10,7 +10,7 @@
 
 from passpier.core import members, replicas
 from passpier.daemon import loads, messages
-from passpier.standins import network, virtual
+from passpier.standins import network, virtual_time
 
 POOL = [f'r{n}' for n in range(6)]
 SLOTS = 16
@@ -60,7 +60,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 def now() -> float:
--- a/passpier/tests/daemon/main_tests.py
+++ b/passpier/tests/daemon/main_tests.py
@@ -52,9 +52,9 @@
 class BackgroundRequest:
     """A request sent by a thread, with its response or failure."""
 
-    def __init__(self, send: Callable[[], fleets.Answer]) -> None:
+    def __init__(self, send: Callable[[], fleets.Response]) -> None:
         self._send = send
-        self._answer: fleets.Answer | None = None
+        self._answer: fleets.Response | None = None
         self._failure: Exception | None = None
         self._thread = threading.Thread(target=self._run)
         self._thread.start()
@@ -65,7 +65,7 @@
         except (OSError, http.client.HTTPException) as error:
             self._failure = error
 
-    def wait(self) -> fleets.Answer:
+    def wait(self) -> fleets.Response:
         """Return the response; fails the test if the connection was closed without one."""
         self._thread.join(60)
         assert self._failure is None, f'no answer: {self._failure!r}'
@@ -92,15 +92,15 @@
     return daemon
 
 
-def request_draft(fleet: fleets.Fleet, number: int, key: str, tokens: int) -> fleets.Answer:
+def request_draft(fleet: fleets.Fleet, number: int, key: str, tokens: int) -> fleets.Response:
     """Request a completion that may run only once, without streaming."""
     body = {'model': 'draft', 'prompt': 'draft', 'max_tokens': tokens}
     headers = {**fleets.make_headers(), 'Idempotency-Key': key}
     url = f'http://{fleet.daemons[number].entry}/v1/completions'
-    return fleets.Answer(*processes.call('POST', url, body, headers))
+    return fleets.Response(*processes.call('POST', url, body, headers))
 
 
-def check_draining(answer: fleets.Answer, outcome: str) -> None:
+def check_draining(answer: fleets.Response, outcome: str) -> None:
     assert answer.error['code'] == 'draining', answer.body
     assert answer.error['outcome'] == outcome
     assert answer.error['retry_after'] > 0
@@ -113,7 +113,7 @@
     assert fleet.daemons[1].rpc('drain', name=daemon.name)['result']['draining'] == daemon.name
     processes.wait_until(lambda: daemon.list_events('drain begins'), 'drain begins')
     daemon.send(signal.SIGTERM)
-    assert request.wait().whole
+    assert request.wait().is_complete
     assert daemon.popen.wait(30) == 0
 
 
@@ -121,7 +121,7 @@
     request = begin_stream(fleet, 'twice', SHORT_TOKENS)
     daemon = begin_drain(fleet)
     daemon.send(signal.SIGTERM)
-    assert request.wait().whole
+    assert request.wait().is_complete
     assert daemon.popen.wait(30) == 0
 
 
@@ -132,7 +132,7 @@
     processes.wait_until(lambda: daemon.list_events('drain begins'), 'drain begins')
     daemon.send(signal.SIGINT)
     answer = request.wait()
-    assert not answer.whole
+    assert not answer.is_complete
     assert answer.chunks
     check_draining(answer, 'unknown')
     assert daemon.popen.wait(30) == 0
@@ -144,7 +144,7 @@
 ) -> None:
     daemon = begin_drain(fleet)
     short = fleet.complete(0, 'short', 5)
-    assert short.whole, short.body
+    assert short.is_complete, short.body
     long = fleet.complete(0, 'long', LONG_TOKENS)
     assert long.status == 503
     check_draining(long, 'not_run')
@@ -170,7 +170,7 @@
     time.sleep(1.0)
     connection.send(body[10:])
     response = connection.getresponse()
-    answer = fleets.Answer(response.status, dict(response.headers), response.read())
+    answer = fleets.Response(response.status, dict(response.headers), response.read())
     check_draining(answer, 'not_run')
     assert daemon.popen.wait(30) == 0
 
@@ -200,7 +200,7 @@
     stream = begun.wait()
     assert stream.status == 200
     assert stream.chunks
-    assert not stream.whole
+    assert not stream.is_complete
     check_draining(stream, 'unknown')
     for request in (computed, opaque):
         answer = request.wait()
--- a/passpier/tests/daemon/once_tests.py
+++ b/passpier/tests/daemon/once_tests.py
@@ -20,7 +20,7 @@
 from passpier.config import declarations
 from passpier.core import attempts, claims, members
 from passpier.daemon import call_builder, calls, idempotency, messages, peers, responses
-from passpier.standins import network, virtual
+from passpier.standins import network, virtual_time
 from passpier.tests import fakes
 
 ACCOUNT = declarations.Account(name='acme', key_digests=())
@@ -172,7 +172,7 @@
     async def run() -> None:
         await run_steps(Fleet(seed), steps)
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 class RunsKeysOfOthers(idempotency.IdempotentRunner):
@@ -211,7 +211,7 @@
             async def run(seed: int = seed, steps: list[tuple[Any, ...]] = steps) -> None:
                 await run_steps(BrokenFleet(seed), steps)
 
-            virtual.run(run())
+            virtual_time.run(run())
 
     with pytest.raises(AssertionError):
         find_failure()
@@ -225,7 +225,7 @@
         await asyncio.gather(*(send(fleet, 0, f'o{n}', results) for n in range(200)))
         return fleet.store.writes, len(results)
 
-    writes, sent = virtual.run(run())
+    writes, sent = virtual_time.run(run())
     print(f'{sent} opaque keys claimed at once, {writes} store writes with releases')
     assert sent == 200
     assert writes < 100
@@ -249,7 +249,7 @@
         assert not any(fleet.upstream.runs[f'order-{n}'] for n in range(20))
         return {'homed': homed, 'opaque': opaque, 'opaque_refused': refused}
 
-    counts = virtual.run(run())
+    counts = virtual_time.run(run())
     print(f'store down: {counts["homed"]} of 100 homed, {counts["opaque"]} of 20 opaque served')
     assert counts['homed'] >= 30
     assert (counts['opaque'], counts['opaque_refused']) == (0, 20)
@@ -265,7 +265,7 @@
             await send(fleet, number, key, results)
         return results[key]
 
-    assert set(virtual.run(run())) == {exceptions.Outcome.UNKNOWN}
+    assert set(virtual_time.run(run())) == {exceptions.Outcome.UNKNOWN}
 
 
 def test_a_key_outside_the_retention_is_never_called_not_run() -> None:
@@ -322,7 +322,7 @@
 def test_cancelling_at_any_time_reports_true_outcomes() -> None:
     reported: collections.Counter[exceptions.Outcome] = collections.Counter()
     for seed in range(200):
-        reported += virtual.run(cancel_one(seed))
+        reported += virtual_time.run(cancel_one(seed))
     print(f'cancelled at a random time: {dict(reported)}')
     assert set(reported) == set(exceptions.Outcome)
 
@@ -367,4 +367,4 @@
             await asyncio.sleep(wait)
         return len(runs) - 1
 
-    assert virtual.run(run()) == 1
+    assert virtual_time.run(run()) == 1
--- a/passpier/tests/daemon/path_tests.py
+++ b/passpier/tests/daemon/path_tests.py
@@ -88,7 +88,9 @@
     fleet: fleets.Fleet, body: bytes, headers: dict[str, str], status: int, code: str
 ) -> None:
     url = f'http://{fleet.daemons[0].entry}/v1/completions'
-    answer = fleets.Answer(*processes.call('POST', url, body, {**fleets.make_headers(), **headers}))
+    answer = fleets.Response(
+        *processes.call('POST', url, body, {**fleets.make_headers(), **headers})
+    )
     assert (answer.status, answer.error['code']) == (status, code)
     assert answer.error['outcome'] == 'not_run'
     assert answer.headers['X-Passpier-Outcome'] == 'not_run'
@@ -160,9 +162,9 @@
     answers = []
     for daemon in (fleet.daemons[0], fleet.daemons[1], fleet.daemons[0]):
         url = f'http://{daemon.entry}/v1/completions'
-        answers.append(fleets.Answer(*processes.call('POST', url, body, headers)))
+        answers.append(fleets.Response(*processes.call('POST', url, body, headers)))
     assert {a.text for a in answers} == {compute_text('evacuate?', 6)}
-    assert all(a.whole for a in answers)
+    assert all(a.is_complete for a in answers)
     runs = [r for e in fleet.engines for r in e.get_counters()['runs'].items()]
     drafts = {a.chunks[0]['id'] for a in answers}
     assert sum(count for name, count in runs if name.rpartition('-')[0] in drafts) == 1
--- a/passpier/tests/daemon/storage_tests.py
+++ b/passpier/tests/daemon/storage_tests.py
@@ -15,7 +15,7 @@
 from passpier.clients import store
 from passpier.core import revisions
 from passpier.daemon import storage
-from passpier.standins import virtual
+from passpier.standins import virtual_time
 from passpier.tests import fakes
 
 
@@ -107,13 +107,13 @@
 @hypothesis.settings(max_examples=60)
 @hypothesis.given(st.integers(0, 10_000), st.sampled_from([0.0, 0.1, 0.3]), st.integers(1, 4))
 def test_concurrent_operators(seed: int, loss: float, operators: int) -> None:
-    virtual.run(write_concurrently(storage.Storage, seed, loss, operators))
+    virtual_time.run(write_concurrently(storage.Storage, seed, loss, operators))
 
 
 def test_broken_variant_is_caught() -> None:
     with pytest.raises(AssertionError):
         for seed in range(200):
-            virtual.run(write_concurrently(RewritingStorage, seed, 0.3, 3))
+            virtual_time.run(write_concurrently(RewritingStorage, seed, 0.3, 3))
 
 
 def test_large_documents_are_chunked() -> None:
@@ -129,7 +129,7 @@
         assert found.document == document
         assert await own_storage.read_revision(found) is None
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 @hypothesis.given(st.lists(st.integers(1, 9), max_size=20))
@@ -175,4 +175,4 @@
         assert fences[0] > 0
         assert fences[1] == 0
 
-    virtual.run(run())
+    virtual_time.run(run())
--- a/passpier/tests/daemon/suspects_tests.py
+++ b/passpier/tests/daemon/suspects_tests.py
@@ -22,7 +22,7 @@
 from passpier.core import members, rendezvous, replica_processes
 from passpier.daemon import peers, suspects
 from passpier.routing import crash_records, pools, registry_mirror
-from passpier.standins import network, virtual
+from passpier.standins import network, virtual_time
 from passpier.tests.routing import fleets
 
 SYNC_SECONDS = 3.0
@@ -249,7 +249,7 @@
         for router in fleet.routers:
             router.stop()
 
-    virtual.run(run())
+    virtual_time.run(run())
     return simulated[0]
 
 
@@ -329,7 +329,7 @@
             router.stop()
         return fleet.outcomes
 
-    return virtual.run(run())
+    return virtual_time.run(run())
 
 
 @in_virtual_time
@@ -362,4 +362,4 @@
             router.stop()
         assert [fleet.count_late(x) <= MAX_LATE_SENDS for x in (DEADLY, DEADLY + 1)] == [True, True]
 
-    virtual.run(run())
+    virtual_time.run(run())
--- a/passpier/tests/platform/backoff_tests.py
+++ b/passpier/tests/platform/backoff_tests.py
@@ -15,7 +15,7 @@
 from passpier.clients import connections
 from passpier.core import backpressure, replicas
 from passpier.routing import pools
-from passpier.standins.platform import deployment, promises
+from passpier.standins.platform import deployment, invariants
 from passpier.tests.platform import harness
 
 BACKOFF = 2.0
@@ -34,20 +34,20 @@
         rng = random.Random(45)
         router_of: dict[str, str] = {}
 
-        async def ask(number: int) -> deployment.Reply:
+        async def ask(number: int) -> deployment.Response:
             entry = number % len(running.routers)
             id = f'r{number}'
             router_of[id] = running.routers[entry].options.name
             headers = deployment.make_prompt(rng) if service == 'llm' else []
             return await running.ask(path, entry, id=id, headers=headers)
 
-        replies: list[asyncio.Future[deployment.Reply]] = []
+        replies: list[asyncio.Future[deployment.Response]] = []
         deadline = clocks.now() + 2 * BACKOFF
         while clocks.now() < deadline:
             replies.append(asyncio.ensure_future(ask(len(replies))))
             await asyncio.sleep(0.05)
         statuses = [r.status for r in await asyncio.gather(*replies)]
-        assert promises.find_backoffs_broken(refusing, router_of) == []
+        assert invariants.find_backoff_violations(refusing, router_of) == []
         assert set(statuses) <= {200, 503}
         assert statuses.count(200) >= 0.9 * len(statuses)
 
@@ -60,13 +60,13 @@
             replica.faults.backoff = 3.0
         for _ in range(4):
             await running.ask('/safe/x')
-        before = sum(replica.asked for replica in running.replicas.values())
+        before = sum(replica.arrival_count for replica in running.replicas.values())
         began = clocks.now()
         replies = [await running.ask('/safe/x') for _ in range(10)]
         assert clocks.now() - began < 1.0
         assert {r.status for r in replies} == {503}
         assert all(1.0 < float(r.headers.get('Retry-After') or 0) <= 10.0 for r in replies)
-        assert sum(replica.asked for replica in running.replicas.values()) == before
+        assert sum(replica.arrival_count for replica in running.replicas.values()) == before
 
     harness.run_check(check)
 
@@ -128,6 +128,6 @@
         monkeypatch.setattr(pool, '_connect', connect_late)
         replies = await asyncio.gather(*(running.ask('/safe/x') for _ in range(8)))
         assert {r.status for r in replies} == {200}
-        assert running.replicas['app-0'].asked == 0
+        assert running.replicas['app-0'].arrival_count == 0
 
     harness.run_check(check)
--- a/passpier/tests/platform/client_disconnects_tests.py
+++ b/passpier/tests/platform/client_disconnects_tests.py
@@ -61,7 +61,7 @@
 
 
 def list_dropped(running: deployment.Deployment) -> list[str]:
-    return [id for replica in running.replicas.values() for id in replica.dropped]
+    return [id for replica in running.replicas.values() for id in replica.abandoned]
 
 
 def list_finished(running: deployment.Deployment) -> list[str]:
@@ -222,10 +222,10 @@
             replica.faults.late_refusal = 0.1
         client = connect(running)
         client.sendall(render('/once/x', 'one'))
-        await harness.wait_for(lambda: any(replica.asked for replica in plain))
+        await harness.wait_for(lambda: any(replica.arrival_count for replica in plain))
         client.close()
         await harness.wait_for(lambda: is_idle(running))
-        assert sum(replica.asked for replica in plain) == 1
+        assert sum(replica.arrival_count for replica in plain) == 1
         assert not running.list_runs('one')
 
     harness.run_check(check)
@@ -248,7 +248,7 @@
 def test_disconnect_cancels_a_running_stream() -> None:
     async def check(running: deployment.Deployment) -> None:
         for replica in running.replicas.values():
-            replica.events = 10_000
+            replica.event_count = 10_000
         client = connect(running)
         client.setblocking(False)
         client.sendall(render('/stream/x', 'one', prompt=True))
@@ -263,7 +263,7 @@
 def test_resumed_stream_is_not_resumed_again_after_a_disconnect() -> None:
     async def check(running: deployment.Deployment) -> None:
         for replica in running.replicas.values():
-            replica.events = 10_000
+            replica.event_count = 10_000
             replica.faults.cut = 1
         client = connect(running)
         client.setblocking(False)
@@ -284,7 +284,7 @@
 ) -> None:
     async def check(running: deployment.Deployment) -> None:
         for replica in running.replicas.values():
-            replica.events = 100_000
+            replica.event_count = 100_000
             replica.event_bytes = 65_536
         client = connect(running, received=4096)
         client.sendall(render('/stream/x', 'one', prompt=True))
@@ -310,7 +310,7 @@
         harness.set_processing_time(running, LONG_DEADLINE)
         for replica in running.replicas.values():
             replica.slots = CLIENTS
-            running.record(replica.id)
+            running.write_entry(replica.id)
         pools = running.routers[0].pools
         plain = [r.id for r in running.replicas.values() if not r.model]
         await harness.wait_for(lambda: all(pools.replicas[id].slots == CLIENTS for id in plain))
@@ -332,6 +332,6 @@
 
 
 def test_router_processes_detect_waves_of_disconnects() -> None:
-    report = asyncio.run(leaving.Leaving(1, clients=40, waves=2, count=2).run())
-    assert report.learnt_after
-    assert (report.never_learnt, report.broken_off) == (0, 0)
+    report = asyncio.run(leaving.DisconnectMeasurement(1, clients=40, waves=2, count=2).run())
+    assert report.notified_after
+    assert (report.never_notified, report.broken_off) == (0, 0)
--- a/passpier/tests/platform/costs_tests.py
+++ b/passpier/tests/platform/costs_tests.py
@@ -17,6 +17,6 @@
         'request /resume/x',
         'refusal, unknown key',
     ]
-    assert all(row.done and row.milliseconds > 0 for row in report.rows)
+    assert all(row.count and row.milliseconds > 0 for row in report.rows)
     assert report.idle > 0
     assert all(row.work in report.render() for row in report.rows)
--- a/passpier/tests/platform/crashes_tests.py
+++ b/passpier/tests/platform/crashes_tests.py
@@ -36,7 +36,7 @@
 
 
 def list_crash_times(running: deployment.Deployment) -> list[float]:
-    return sorted(at for r in running.replicas.values() for _, at in r.ended_by)
+    return sorted(at for r in running.replicas.values() for _, at in r.crashed_by)
 
 
 def list_send_times(running: deployment.Deployment, prefix: str) -> list[float]:
@@ -46,7 +46,7 @@
 
 async def send_repeatedly(
     running: deployment.Deployment, path: str, seconds: float, rng: random.Random
-) -> list[deployment.Reply]:
+) -> list[deployment.Response]:
     """Send the deadly request to random routers for some seconds."""
     replies = []
     deadline = clocks.now() + seconds
@@ -68,7 +68,7 @@
             zone = f'zone-{number % 2}'
             running.add_replica(replica.Replica(f'llm-{number}', 'llm', zone, deployment.MODEL))
         await running.wait_ready()
-        running.make_deadly(DEADLY, DOWNTIME)
+        running.crash_on_body(DEADLY, DOWNTIME)
         await send_repeatedly(running, '/stream/x', 6.0, random.Random(30))
         known_at = list_crash_times(running)[CRASHES_UNTIL_KNOWN - 1] + SHARED_WITHIN
         late_sends = [at for at in list_send_times(running, 'deadly-') if at > known_at]
@@ -93,7 +93,7 @@
 
 def test_other_requests_are_served_while_one_crashes_replicas() -> None:
     async def check(running: deployment.Deployment) -> None:
-        running.make_deadly(DEADLY, DOWNTIME)
+        running.crash_on_body(DEADLY, DOWNTIME)
         rng = random.Random(31)
         await send_repeatedly(running, '/stream/x', 2.0, rng)
         await asyncio.sleep(DOWNTIME)
@@ -113,7 +113,7 @@
     """All other routers have stopped, so the new one can learn it only from the registry."""
 
     async def check(running: deployment.Deployment) -> None:
-        running.make_deadly(DEADLY, DOWNTIME)
+        running.crash_on_body(DEADLY, DOWNTIME)
         await send_repeatedly(running, '/stream/x', 3.0, random.Random(32))
         (first,) = running.routers
         first.force_stop()
--- a/passpier/tests/platform/deadlines_tests.py
+++ b/passpier/tests/platform/deadlines_tests.py
@@ -64,7 +64,7 @@
         models = [replica for replica in running.replicas.values() if replica.model]
         for replica in models:
             replica.event_pause = 1.3
-            replica.events = 3
+            replica.event_count = 3
         pending = asyncio.ensure_future(
             running.ask('/resume/x', id='one', patience_ms=9000, headers=harness.PROMPT_HEADERS)
         )
@@ -72,7 +72,7 @@
         if others == 'draining':
             for replica in models:
                 if not replica.runs:
-                    running.remove_replica(replica.id)
+                    running.remove_entry(replica.id)
         assert (await pending).status == 200
         assert len(running.list_runs('one')) == (1 if others == 'draining' else 2)
 
--- a/passpier/tests/platform/fleet_tests.py
+++ b/passpier/tests/platform/fleet_tests.py
@@ -60,11 +60,11 @@
 def test_released_weights_reach_every_replica_from_one_holder() -> None:
     async def check(running: deployment.Deployment) -> None:
         await wait_for(lambda: any(r.rollouts.holder.token for r in running.routers))
-        running.name_version(2)
+        running.release_version(2)
         await asyncio.sleep(0.2)
-        running.name_version(3)
+        running.release_version(3)
         await wait_for(lambda: all(r.version == 3 for r in list_engines(running)))
-        orders = [o for r in list_engines(running) for _, o in r.taken]
+        orders = [o for r in list_engines(running) for _, o in r.accepted_orders]
         assert len({o['holder'] for o in orders}) == 1
         assert len({o['fencing_token'] for o in orders}) == 1
         pools = running.routers[0].pools
@@ -82,7 +82,7 @@
 
 def test_salt_matches_the_weights_of_the_replica_during_a_rollout() -> None:
     async def check(running: deployment.Deployment) -> None:
-        running.name_version(2)
+        running.release_version(2)
         replies = []
         while not all(r.version == 2 for r in list_engines(running)):
             replies.append(await running.ask('/resume/x', headers=PROMPT_HEADERS))
@@ -100,7 +100,7 @@
         await wait_for(lambda: any(r.rollouts.holder.token for r in running.routers))
         holder = next(r for r in running.routers if r.rollouts.holder.token)
         holder.begin_stop()
-        running.name_version(2)
+        running.release_version(2)
         await wait_for(lambda: all(r.version == 2 for r in list_engines(running)), 15)
 
     run_check(check, routers=2)
@@ -190,10 +190,10 @@
 def test_listing_is_read_again_after_the_history_was_compacted() -> None:
     async def check(running: deployment.Deployment) -> None:
         running.configure()
-        running.meta.forget_history()
+        running.store.compact_history()
         running.add_replica(replica.Replica('app-9', 'app', 'zone-0'))
-        running.remove_replica('app-0')
-        running.meta.forget_history()
+        running.remove_entry('app-0')
+        running.store.compact_history()
         pools = running.routers[0].pools
         await wait_for(lambda: 'app-9' in pools.replicas and 'app-0' not in pools.replicas)
 
@@ -207,8 +207,8 @@
         process = running.add_router('late', 'zone-1')
         await wait_for(lambda: process.is_ready() and process.roster.membership.own.name)
         key = f'{names.OWN_PREFIX}members/late'
-        await wait_for(lambda: key in running.meta.items)
-        running.name_version(2)
+        await wait_for(lambda: key in running.store.items)
+        running.release_version(2)
         await wait_for(lambda: all(r.version == 2 for r in list_engines(running)), 20)
 
     run_check(check)
@@ -218,7 +218,7 @@
     async def check(running: deployment.Deployment) -> None:
         leaving = running.replicas['app-0']
         leaving.state = 'draining'
-        running.record('app-0')
+        running.write_entry('app-0')
         await wait_for(lambda: running.routers[0].pools.replicas['app-0'].leaving, 1.0)
         before = len(leaving.runs)
         for _ in range(10):
@@ -261,7 +261,7 @@
 def test_drain_completes_all_requests() -> None:
     async def check(running: deployment.Deployment) -> None:
         for stand_in in running.replicas.values():
-            stand_in.work = 0.4
+            stand_in.work_seconds = 0.4
         pending = [asyncio.ensure_future(running.ask('/once/x', entry=0)) for _ in range(4)]
         await wait_for(lambda: running.routers[0].ingress.in_flight == 4)
         running.routers[0].begin_stop()
@@ -287,7 +287,7 @@
 def test_request_late_in_a_drain_is_refused_instead_of_interrupted() -> None:
     async def check(running: deployment.Deployment) -> None:
         for stand_in in running.replicas.values():
-            stand_in.work = 4.5
+            stand_in.work_seconds = 4.5
         process = running.routers[0]
         early = asyncio.ensure_future(running.ask('/slow/x', entry=0, patience_ms=6000))
         await wait_for(lambda: process.ingress.in_flight == 1)
--- a/passpier/tests/platform/harness.py
+++ b/passpier/tests/platform/harness.py
@@ -70,4 +70,4 @@
 def set_processing_time(running: deployment.Deployment, seconds: float) -> None:
     """Set how long each replica works on a request."""
     for replica in running.replicas.values():
-        replica.work = seconds
+        replica.work_seconds = seconds
--- a/passpier/tests/platform/leaving_replicas_tests.py
+++ b/passpier/tests/platform/leaving_replicas_tests.py
@@ -29,16 +29,16 @@
         path = '/stream/x' if service == 'llm' else '/safe/x'
         running.faults.down = True
         leaving.faults.leaves = True
-        while not leaving.said:
+        while not leaving.signals:
             await running.ask(path, headers=harness.PROMPT_HEADERS)
         await asyncio.sleep(ANNOUNCED_WITHIN)
-        before = leaving.asked
+        before = leaving.arrival_count
         for _ in range(2):
             # No more concurrent requests than slots of the only remaining replica.
             pending = [running.ask(path, n % 2, headers=harness.PROMPT_HEADERS) for n in range(10)]
             replies = await asyncio.gather(*pending)
             assert {r.status for r in replies} == {200}
-        assert leaving.asked == before
+        assert leaving.arrival_count == before
 
     harness.run_check(check, routers=2)
 
@@ -63,11 +63,11 @@
             replica.faults.leaves = True
         for _ in range(4):
             await running.ask('/safe/x')
-        before = sum(replica.asked for replica in running.replicas.values())
+        before = sum(replica.arrival_count for replica in running.replicas.values())
         reply = await running.ask('/safe/x')
         assert reply.status == 503
         assert float(reply.headers.get('Retry-After') or 0) > 0
-        assert sum(replica.asked for replica in running.replicas.values()) == before
+        assert sum(replica.arrival_count for replica in running.replicas.values()) == before
 
     harness.run_check(check)
 
@@ -77,17 +77,17 @@
         (router,) = running.routers
         leaving = running.replicas['app-0']
         leaving.faults.leaves = True
-        while not leaving.said:
+        while not leaving.signals:
             await running.ask('/safe/x')
         assert router.pools.replicas['app-0'].leaving
         leaving.faults.leaves = False
         running.restart_replica('app-0')
-        process = replica_processes.ReplicaProcess('app-0', leaving.born)
+        process = replica_processes.ReplicaProcess('app-0', leaving.started_ms)
         await harness.wait_for(lambda: router.pools.find(process) is not None)
-        before = leaving.asked
+        before = leaving.arrival_count
         for _ in range(6):
             await running.ask('/safe/x')
-        assert leaving.asked > before
+        assert leaving.arrival_count > before
 
     harness.run_check(check)
 
--- a/passpier/tests/platform/limits_tests.py
+++ b/passpier/tests/platform/limits_tests.py
@@ -105,7 +105,7 @@
         set_rate(running)
         await wait_full(running)
         for id in list(running.replicas):
-            running.remove_replica(id)
+            running.remove_entry(id)
         await harness.wait_for(lambda: not running.routers[0].pools.replicas)
         replies = [await running.ask('/stream/x', headers=PROMPT) for _ in range(10)]
         assert {r.status for r in replies} == {503}
--- a/passpier/tests/platform/play_tests.py
+++ b/passpier/tests/platform/play_tests.py
@@ -16,14 +16,14 @@
 @pytest.mark.parametrize('seed', [1, 2, 3])
 def test_no_guarantee_is_violated(seed: int) -> None:
     report = asyncio.run(play.play(seed, SECONDS, 60.0))
-    assert report.broken == []
-    assert any(a.status == 200 for a in report.asked)
+    assert report.violations == []
+    assert any(a.status == 200 for a in report.outcomes)
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
 def test_backpressure_signals_are_respected(seed: int) -> None:
     report = asyncio.run(play.play(seed, SIGNALS_SECONDS, 60.0, asks=True))
-    assert report.broken == []
+    assert report.violations == []
 
 
 def test_router_that_repeats_non_idempotent_requests_is_detected(
@@ -33,7 +33,7 @@
     found = 0
     for seed in range(4, 12):
         report = asyncio.run(play.play(seed, SECONDS, 60.0))
-        found += any('times' in text for text in report.broken)
+        found += any('times' in text for text in report.violations)
         if found:
             return
     pytest.fail('no seed shows a second run')
--- a/passpier/tests/platform/replica_restarts_tests.py
+++ b/passpier/tests/platform/replica_restarts_tests.py
@@ -155,7 +155,7 @@
 
     async def check(running: deployment.Deployment) -> None:
         restarted = running.replicas['llm-0']
-        running.name_version(2)
+        running.release_version(2)
         await harness.wait_for(lambda: restarted.version == 2)
         running.restart_replica(restarted.id, version=1)
         all_pools = [router.pools for router in running.routers]
@@ -164,7 +164,7 @@
                 restarted.version == 2
                 and all(
                     p.get(restarted.id).process
-                    == replica_processes.ReplicaProcess(restarted.id, restarted.born)
+                    == replica_processes.ReplicaProcess(restarted.id, restarted.started_ms)
                     for p in all_pools
                 )
                 and all(p.get(restarted.id).weight_version == '2' for p in all_pools)
@@ -188,7 +188,7 @@
             await asyncio.sleep(0.01)
         before = list(idle[restarted.address])
         entry = restarted.render_entry() | {'born': 2000}
-        running.meta.put(names.REPLICA_PREFIX + restarted.id, entry)
+        running.store.put(names.REPLICA_PREFIX + restarted.id, entry)
         await harness.wait_for(lambda: router.pools.get(restarted.id).started_ms == 2000)
         assert all(c.closed for c in before)
 
@@ -198,7 +198,7 @@
 def record_restart(running: deployment.Deployment, id: str) -> None:
     """Record in the registry that the process of a replica has restarted."""
     entry = running.replicas[id].render_entry() | {'born': 2000}
-    running.meta.put(names.REPLICA_PREFIX + id, entry)
+    running.store.put(names.REPLICA_PREFIX + id, entry)
 
 
 async def wait_for_working_replica(running: deployment.Deployment, request: str) -> str:
--- a/passpier/tests/platform/single_requests_tests.py
+++ b/passpier/tests/platform/single_requests_tests.py
@@ -165,7 +165,7 @@
 def test_without_replicas_requests_are_refused_at_once_with_retry_after() -> None:
     async def check(running: deployment.Deployment) -> None:
         for id in list(running.replicas):
-            running.remove_replica(id)
+            running.remove_entry(id)
         async with asyncio.timeout(0.5):
             while running.routers[0].pools.replicas:
                 await asyncio.sleep(0.01)
@@ -196,7 +196,7 @@
 async def disconnect_during_request(running: deployment.Deployment) -> None:
     """Disconnect a client while a replica works on its request."""
     for stand_in in running.replicas.values():
-        stand_in.work = 1.0
+        stand_in.work_seconds = 1.0
     pending = asyncio.ensure_future(running.ask('/safe/x', id='one'))
     while not running.list_runs('one'):
         await asyncio.sleep(0.01)
@@ -206,7 +206,7 @@
 def test_disconnect_leaves_nothing_running() -> None:
     async def check(running: deployment.Deployment) -> None:
         await disconnect_during_request(running)
-        while not any('one' in stand_in.dropped for stand_in in running.replicas.values()):
+        while not any('one' in stand_in.abandoned for stand_in in running.replicas.values()):
             await asyncio.sleep(0.01)
         assert running.routers[0].ingress.in_flight == 0
 
@@ -220,7 +220,7 @@
         headers = harness.PROMPT_HEADERS if wants_model else []
         silent = running.replicas['llm-0' if wants_model else 'app-0']
         await running.wait_settled()
-        running.go_dark(silent.id)
+        running.make_unreachable(silent.id)
         loop = asyncio.get_running_loop()
         for number in range(8):
             began = loop.time()
@@ -229,7 +229,7 @@
             assert loop.time() - began < 1.9
         arrived = len(silent.runs)
         assert arrived <= 2
-        running.go_light(silent.id)
+        running.make_reachable(silent.id)
         state = running.routers[0].pools.replicas[silent.id]
         while loop.time() < state.paused_until:
             await asyncio.sleep(0.02)
@@ -241,7 +241,7 @@
 def test_slow_replica_that_is_alive_is_waited_for() -> None:
     async def check(running: deployment.Deployment) -> None:
         for stand_in in running.replicas.values():
-            stand_in.work = 0.9
+            stand_in.work_seconds = 0.9
         reply = await running.ask('/once/x', id='one')
         assert reply.status == 200
         assert len(running.list_runs('one')) == 1
@@ -279,7 +279,7 @@
     async def check(running: deployment.Deployment) -> None:
         for stand_in in running.replicas.values():
             stand_in.faults.lose = 1
-            stand_in.work = 0.1
+            stand_in.work_seconds = 0.1
         freshness = running.routers[0].registry_state.freshness
         pending = asyncio.ensure_future(running.ask('/safe/x', id='one'))
         running.faults.down = True
--- a/passpier/tests/platform/soak_tests.py
+++ b/passpier/tests/platform/soak_tests.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from passpier.standins.platform import promises, proxy, replica, routers, soak
+from passpier.standins.platform import invariants, proxy, replica, routers, soak
 
 SECONDS = 5.0
 SIGNALS_SECONDS = 9.0
@@ -52,39 +52,39 @@
 def test_seeds_that_once_failed_pass(seed: int) -> None:
     plan = soak.Plan(seed, FULL_SECONDS, FULL_ROUTERS)
     report = asyncio.run(soak.soak(plan, LOGS))
-    assert report.broken == [], report.render()
+    assert report.violations == [], report.render()
 
 
 @pytest.mark.parametrize('seed', PLANNED_REGRESSION_SEEDS)
 def test_planned_work_seeds_that_once_failed_pass(seed: int) -> None:
     plan = soak.Plan(seed, FULL_SECONDS, FULL_ROUTERS, planned=True)
     report = asyncio.run(soak.soak(plan, f'{LOGS}/planned'))
-    assert report.broken == [], report.render()
+    assert report.violations == [], report.render()
 
 
 @pytest.mark.parametrize('seed', RESTART_REGRESSION_SEEDS)
 def test_restart_seeds_that_once_failed_pass(seed: int) -> None:
     plan = soak.Plan(seed, FULL_SECONDS, FULL_ROUTERS, planned=True, lives=True)
     report = asyncio.run(soak.soak(plan, f'{LOGS}/lives'))
-    assert report.broken == [], report.render()
+    assert report.violations == [], report.render()
 
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_router_processes_violate_no_guarantee(seed: int) -> None:
     report = asyncio.run(soak.soak(soak.Plan(seed, SECONDS), LOGS))
-    assert report.broken == [], report.render()
-    assert any(a.status == 200 for a in report.asked)
+    assert report.violations == [], report.render()
+    assert any(a.status == 200 for a in report.outcomes)
 
 
 @pytest.mark.parametrize(('seed', 'planned'), [(1, False), (2, True), (3, True)])
 def test_backpressure_signals_are_respected_during_other_faults(seed: int, planned: bool) -> None:
     plan = soak.Plan(seed, SIGNALS_SECONDS, planned=planned, asks=True)
     report = asyncio.run(soak.soak(plan, f'{LOGS}/asks'))
-    assert report.broken_signals == [], report.render()
+    assert report.backpressure_violations == [], report.render()
 
 
-def make_request(id: str, kind: str, status: int, body: bytes = b'') -> promises.Asked:
-    return promises.Asked(id, kind, 'k', 10.0, status, body, 0.1, id)
+def make_request(id: str, kind: str, status: int, body: bytes = b'') -> invariants.RequestOutcome:
+    return invariants.RequestOutcome(id, kind, 'k', 10.0, status, body, 0.1, id)
 
 
 def make_replica(*runs: str) -> replica.Replica:
@@ -98,24 +98,26 @@
     [
         (make_request('a', 'once', 200), ['a', 'a'], 'ran 2 times'),
         (make_request('a', 'once', 503), ['a'], 'was told 503'),
-        (make_request('a', 'stream', 200, promises.WHOLE[:-9]), ['a'], 'looks whole'),
+        (make_request('a', 'stream', 200, invariants.COMPLETE_BODY[:-9]), ['a'], 'looks whole'),
         (make_request('a', 'safe', 200), ['a', 'a'], ''),
         (make_request('a', 'once', 502), ['a'], ''),
-        (make_request('a', 'stream', 200, promises.WHOLE), ['a'], ''),
+        (make_request('a', 'stream', 200, invariants.COMPLETE_BODY), ['a'], ''),
     ],
 )
 def test_violated_guarantee_is_found(
-    client_request: promises.Asked, runs: list[str], found: str
+    client_request: invariants.RequestOutcome, runs: list[str], found: str
 ) -> None:
-    broken = promises.find_broken([client_request], [make_replica(*runs)], {}, 3.0, 1.0)
+    broken = invariants.find_violations([client_request], [make_replica(*runs)], {}, 3.0, 1.0)
     assert [found in text for text in broken] == ([True] if found else [])
 
 
 def test_run_with_a_revoked_key_is_found() -> None:
     client_request = make_request('a', 'safe', 200)
-    late = promises.find_broken([client_request], [make_replica('a')], {'k': 6.0}, 3.0, 1.0)
+    late = invariants.find_violations([client_request], [make_replica('a')], {'k': 6.0}, 3.0, 1.0)
     assert len(late) == 1
-    assert not promises.find_broken([client_request], [make_replica('a')], {'k': 8.0}, 3.0, 1.0)
+    assert not invariants.find_violations(
+        [client_request], [make_replica('a')], {'k': 8.0}, 3.0, 1.0
+    )
 
 
 def test_run_with_weights_outdated_for_too_long_is_found() -> None:
@@ -124,8 +126,8 @@
     stand_in.runs = [dataclasses.replace(stand_in.runs[0], version=7, at=69.3)]
     named = {7: 40.0, 8: 58.5, 9: 64.0}
     requests = [dataclasses.replace(make_request('a', 'resume', 200), router='vm-0')]
-    assert len(promises.find_outdated(requests, [stand_in], named, 10.0)) == 1
-    assert not promises.find_outdated(requests, [stand_in], {7: 40.0, 9: 64.0}, 10.0)
+    assert len(invariants.find_outdated_runs(requests, [stand_in], named, 10.0)) == 1
+    assert not invariants.find_outdated_runs(requests, [stand_in], {7: 40.0, 9: 64.0}, 10.0)
     cases = [
         ('vm-0', 66.5, 67.0, 0),
         ('vm-0', 69.0, 70.0, 0),
@@ -137,11 +139,14 @@
         ('other', 59.0, 69.0, 1),
     ]
     for of, began, ended, found in cases:
-        disturbed = [promises.Disturbance(of, began, ended)]
-        assert len(promises.find_outdated(requests, [stand_in], named, 10.0, disturbed)) == found
+        disturbed = [invariants.Disturbance(of, began, ended)]
+        assert (
+            len(invariants.find_outdated_runs(requests, [stand_in], named, 10.0, disturbed))
+            == found
+        )
 
 
-STOP = promises.Stop('vm-0', 100.0)
+STOP = invariants.Stop('vm-0', 100.0)
 GRACE = 6.0
 
 
@@ -154,12 +159,12 @@
     worked_until: float = 0.0,
     unplanned: tuple[tuple[float, float], ...] = (),
 ) -> list[str]:
-    client_request = promises.Asked(
+    client_request = invariants.RequestOutcome(
         'a', kind, 'k', sent_at, 0, b'', seconds, '', 'vm-0', patience=9.0, begun=begun
     )
     stand_in = make_replica(*(['a'] if worked_until else []))
     stand_in.worked_until['a'] = worked_until
-    return promises.find_lost([client_request], [stand_in], [STOP], GRACE, unplanned)
+    return invariants.find_lost_requests([client_request], [stand_in], [STOP], GRACE, unplanned)
 
 
 @pytest.mark.parametrize(
@@ -180,14 +185,16 @@
 
 
 def test_drain_may_count_from_the_start_of_a_process_pause() -> None:
-    client_request = promises.Asked(
+    client_request = invariants.RequestOutcome(
         'a', 'patient', 'k', 99.7, 0, b'', 5.0, '', 'vm-0', 9.0, begun=True
     )
     stand_in = make_replica('a')
     stand_in.worked_until['a'] = 104.7
     for still_since, found in [(99.24, 0), (99.8, 1), (0.0, 1)]:
-        stop = promises.Stop('vm-0', 100.0, still_since)
-        assert len(promises.find_lost([client_request], [stand_in], [stop], GRACE)) == found
+        stop = invariants.Stop('vm-0', 100.0, still_since)
+        assert (
+            len(invariants.find_lost_requests([client_request], [stand_in], [stop], GRACE)) == found
+        )
 
 
 def test_request_without_a_response_at_the_end_of_a_drain_is_lost() -> None:
@@ -202,13 +209,15 @@
 
 
 def test_request_sent_right_before_the_exit_may_be_unread() -> None:
-    stop = promises.Stop('vm-0', 100.0, ended=104.0)
+    stop = invariants.Stop('vm-0', 100.0, ended=104.0)
     for sent_at, runs, found in [(103.7, [], 0), (103.3, [], 1), (103.7, ['a'], 1)]:
-        client_request = promises.Asked(
+        client_request = invariants.RequestOutcome(
             'a', 'slow', 'k', sent_at, 0, b'', 0.4, '', 'vm-0', patience=9.0
         )
         stand_in = make_replica(*runs)
-        assert len(promises.find_lost([client_request], [stand_in], [stop], GRACE)) == found
+        assert (
+            len(invariants.find_lost_requests([client_request], [stand_in], [stop], GRACE)) == found
+        )
 
 
 def test_request_hit_by_an_unplanned_fault_is_not_lost() -> None:
@@ -220,39 +229,41 @@
 
 def test_run_at_a_removed_replica_is_found() -> None:
     requests = [dataclasses.replace(make_request('a', 'safe', 200), router='vm-0')]
-    unnamed = [promises.Unnamed('r', 100.0, 106.0)]
+    unnamed = [invariants.OverwrittenEntry('r', 100.0, 106.0)]
     for at, found in [(101.9, 0), (102.1, 1), (106.1, 0)]:
         stand_in = make_replica('a')
         stand_in.runs = [dataclasses.replace(stand_in.runs[0], at=at)]
-        assert len(promises.find_unnamed(requests, [stand_in], unnamed)) == found
-        disturbed = [promises.Disturbance('vm-0', 99.0, 100.0)]
-        assert not promises.find_unnamed(requests, [stand_in], unnamed, disturbed)
-        assert not promises.find_unnamed(requests, [stand_in], unnamed, (), [(99.0, 100.0)])
+        assert len(invariants.find_runs_after_overwrite(requests, [stand_in], unnamed)) == found
+        disturbed = [invariants.Disturbance('vm-0', 99.0, 100.0)]
+        assert not invariants.find_runs_after_overwrite(requests, [stand_in], unnamed, disturbed)
+        assert not invariants.find_runs_after_overwrite(
+            requests, [stand_in], unnamed, (), [(99.0, 100.0)]
+        )
 
 
 def test_concurrent_orders_of_two_routers_are_found() -> None:
     stand_in = make_replica()
-    stand_in.taken = [
+    stand_in.accepted_orders = [
         (1.0, {'holder': 'vm-0', 'fencing_token': 5}),
         (1.4, {'holder': 'vm-1', 'fencing_token': 4}),
     ]
-    assert len(promises.find_broken([], [stand_in], {}, 3.0, 1.0)) == 2
-    thaws = [promises.Thaw('vm-1', 1.3)]
-    assert not promises.find_broken([], [stand_in], {}, 3.0, 1.0, thaws)
+    assert len(invariants.find_violations([], [stand_in], {}, 3.0, 1.0)) == 2
+    thaws = [invariants.Resumption('vm-1', 1.3)]
+    assert not invariants.find_violations([], [stand_in], {}, 3.0, 1.0, thaws)
 
 
 def test_process_handles_sighup_before_its_modules_are_loaded(tmp_path: pathlib.Path) -> None:
     async def run() -> None:
         router = routers.RouterProcess(0, tmp_path, '127.0.0.1:1')
         await router.open()
-        while not router.hears(signal.SIGHUP):
+        while not router.handles_signal(signal.SIGHUP):
             await asyncio.sleep(0.001)
         # Now the process runs our code, but has imported little of it yet.
         for _ in range(50):
             router.send(signal.SIGHUP)
             await asyncio.sleep(0.005)
         while 'started' not in router.read_log():
-            assert router.runs
+            assert router.is_running
             await asyncio.sleep(0.05)
         await router.close()
 
@@ -268,7 +279,7 @@
         server = await asyncio.start_server(echo, '127.0.0.1', 0)
         link = proxy.Proxy(f'127.0.0.1:{server.sockets[0].getsockname()[1]}')
         await link.start()
-        link.cut = {proxy.Way.BACK}
+        link.cut = {proxy.Direction.BACK}
         host, _, port = link.address.rpartition(':')
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b'hello\n')
@@ -294,15 +305,15 @@
         at = 10.0 + n * 0.1
         one = dataclasses.replace(make_request(f'a{n}', 'safe', 200), router=f'vm-{n % 2}')
         requests.append(one)
-        stand_in.said.append(replica.Said(one.id, at, 1, 1.0))
+        stand_in.signals.append(replica.BackpressureSignal(one.id, at, 1, 1.0))
         stand_in.arrivals.append(replica.Arrival(one.id, at))
-    limits = [promises.Limited('r', 1.0, 9.0, 20.0)]
-    broken = promises.find_limits_broken(requests, [stand_in], limits)
+    limits = [invariants.LimitPeriod('r', 1.0, 9.0, 20.0)]
+    broken = invariants.find_limit_violations(requests, [stand_in], limits)
     assert len(broken) == 1
-    frozen = [promises.Disturbance('vm-0', 9.0, 12.0)]
-    assert not promises.find_limits_broken(requests, [stand_in], limits, frozen)
-    stand_in.said = [dataclasses.replace(said, life=2) for said in stand_in.said]
-    assert not promises.find_limits_broken(requests, [stand_in], limits)
+    frozen = [invariants.Disturbance('vm-0', 9.0, 12.0)]
+    assert not invariants.find_limit_violations(requests, [stand_in], limits, frozen)
+    stand_in.signals = [dataclasses.replace(said, process_number=2) for said in stand_in.signals]
+    assert not invariants.find_limit_violations(requests, [stand_in], limits)
 
 
 def test_request_after_a_replica_announced_leaving_is_found() -> None:
@@ -310,23 +321,23 @@
     told = dataclasses.replace(make_request('told', 'safe', 200), router='vm-0')
     late = dataclasses.replace(make_request('late', 'safe', 200), router='vm-0', sent_at=14.0)
     other = dataclasses.replace(late, id='other', router='vm-1')
-    stand_in.said = [replica.Said('told', 10.0, 1, leaving=True)]
+    stand_in.signals = [replica.BackpressureSignal('told', 10.0, 1, leaving=True)]
     stand_in.arrivals = [replica.Arrival('late', 14.0), replica.Arrival('other', 14.0)]
-    assert len(promises.find_after_leaving([told, late, other], [stand_in])) == 1
-    frozen = [promises.Disturbance('vm-0', 9.0, 12.0)]
-    assert not promises.find_after_leaving([told, late, other], [stand_in], frozen)
-    stand_in.arrivals = [replica.Arrival('late', 14.0, life=2)]
-    assert not promises.find_after_leaving([told, late, other], [stand_in])
+    assert len(invariants.find_requests_after_leaving([told, late, other], [stand_in])) == 1
+    frozen = [invariants.Disturbance('vm-0', 9.0, 12.0)]
+    assert not invariants.find_requests_after_leaving([told, late, other], [stand_in], frozen)
+    stand_in.arrivals = [replica.Arrival('late', 14.0, process_number=2)]
+    assert not invariants.find_requests_after_leaving([told, late, other], [stand_in])
 
 
 @pytest.mark.parametrize(('count', 'found'), [(2, 0), (3, 1)])
 def test_requests_during_a_backoff_are_found(count: int, found: int) -> None:
     stand_in = replica.Replica('r', 'app', 'zone-0')
     routers = {'told': 'vm-0'} | {f'a{n}': 'vm-0' for n in range(4)} | {'b': 'vm-1'}
-    stand_in.said = [replica.Said('told', 10.0, 1, backoff=3.0)]
+    stand_in.signals = [replica.BackpressureSignal('told', 10.0, 1, backoff=3.0)]
     stand_in.arrivals = [replica.Arrival(f'a{n}', 11.0 + n * 0.5) for n in range(count)]
     stand_in.arrivals += [replica.Arrival('a3', 10.2), replica.Arrival('b', 11.0)]
-    assert len(promises.find_backoffs_broken(stand_in, routers)) == found
-    assert not promises.find_backoffs_broken(
-        stand_in, routers, [promises.Disturbance('r', 9.0, 10.0)]
+    assert len(invariants.find_backoff_violations(stand_in, routers)) == found
+    assert not invariants.find_backoff_violations(
+        stand_in, routers, [invariants.Disturbance('r', 9.0, 10.0)]
     )
--- a/passpier/tests/platform/standins_tests.py
+++ b/passpier/tests/platform/standins_tests.py
@@ -9,7 +9,7 @@
 
 from passpier.clients import connections, exchanges
 from passpier.platform import dialect, names
-from passpier.standins.platform import deployment, foreign, replica
+from passpier.standins.platform import deployment, foreign_entries, replica
 from passpier.tests.platform import harness
 
 ORDER = {'model': deployment.MODEL, 'version': 2, 'holder': 'vm-0', 'fencing_token': 1}
@@ -22,8 +22,8 @@
         engines = dialect.Engines(pool)
         await running.start(routers=0)
         stand_in = running.replicas['llm-0']
-        stand_in.work = 60.0
-        before = (stand_in.address, stand_in.born)
+        stand_in.work_seconds = 60.0
+        before = (stand_in.address, stand_in.started_ms)
         prompt = [*deployment.make_prompt(random.Random(1)), (names.SALT, 's')]
         stand_in.cache_prompt('s', prompt[2][1])
         pending = asyncio.ensure_future(
@@ -44,11 +44,11 @@
             {deployment.MODEL: 3},
         )
         changes = await engines.read_cache_changes(stand_in.address, 0, 0.0)
-        assert (changes.epoch, changes.changes) == (stand_in.born, ())
+        assert (changes.epoch, changes.changes) == (stand_in.started_ms, ())
         assert stand_in.address == before[0]
-        assert stand_in.born > before[1]
-        entry = json.loads(base64.b64decode(running.meta.items['servers/llm-0'].value))
-        assert entry['born'] == stand_in.born
+        assert stand_in.started_ms > before[1]
+        entry = json.loads(base64.b64decode(running.store.items['servers/llm-0'].value))
+        assert entry['born'] == stand_in.started_ms
         pool.close()
         await running.stop()
 
@@ -60,7 +60,7 @@
         running = deployment.Deployment()
         await running.start(routers=0)
         stand_in = running.replicas['llm-0']
-        stand_in.load = 0.05
+        stand_in.load_seconds = 0.05
         assert (await order(running, stand_in)).head.status == 202
         running.crash_replica('llm-0')
         running.restart_replica('llm-0')
@@ -80,7 +80,7 @@
 
 def test_other_writers_cover_each_field() -> None:
     entry = replica.Replica('r', 'llm', 'zone-0', deployment.MODEL).render_entry()
-    values = foreign.build_values(entry)
+    values = foreign_entries.build_malformed_entries(entry)
     assert {f'without {field}' for field in entry} < set(values)
     assert len(set(values.values())) == len(values)
-    assert set(foreign.UNREADABLE) < set(values)
+    assert set(foreign_entries.UNREADABLE) < set(values)
--- a/passpier/tests/platform/stopping_tests.py
+++ b/passpier/tests/platform/stopping_tests.py
@@ -126,7 +126,7 @@
         for replica in plain:
             # The registry entries have one slot, but the replicas accept more and refuse nothing.
             slots, replica.slots = replica.slots, 1
-            running.record(replica.id)
+            running.write_entry(replica.id)
             replica.slots = slots
         process = running.add_router('vm-0', 'zone-0', stop_bound=SHORT_STOP)
         await running.wait_ready()
@@ -149,7 +149,7 @@
 def test_interrupted_stream_does_not_look_complete_at_the_end_of_a_drain() -> None:
     async def check(running: deployment.Deployment) -> None:
         for replica in running.replicas.values():
-            replica.events = 100_000
+            replica.event_count = 100_000
         process = running.add_router('vm-0', 'zone-0', stop_bound=SHORT_STOP)
         await running.wait_ready()
         pending = asyncio.ensure_future(
--- a/passpier/tests/platform/suspended_tests.py
+++ b/passpier/tests/platform/suspended_tests.py
@@ -39,7 +39,7 @@
 
 async def start_slow_request(
     running: deployment.Deployment, patience_ms: int
-) -> asyncio.Task[deployment.Reply]:
+) -> asyncio.Task[deployment.Response]:
     """Start a request that takes 4 seconds; return its task once a replica works on it."""
     harness.set_processing_time(running, 4.0)
     pending = asyncio.ensure_future(running.ask('/slow/x', id='slow', patience_ms=patience_ms))
@@ -55,7 +55,7 @@
 
     async def check(running: deployment.Deployment) -> None:
         running.faults.down = True
-        vm.happen(seconds)
+        vm.advance(seconds)
         reply = await running.ask('/safe/x', id='after')
         assert reply.status == 503
         assert not running.list_runs('after')
@@ -69,7 +69,7 @@
     async def check(running: deployment.Deployment) -> None:
         holder = running.routers[0].rollouts.holder
         await harness.wait_for(lambda: holder.may_order(clocks.now()))
-        vm.happen(seconds)
+        vm.advance(seconds)
         assert not holder.may_order(clocks.now())
 
     run_check(check)
@@ -83,7 +83,7 @@
     book.settle(lambda holder: shares.Generation(1, 1))
     book.note_store_contact(clocks.now())
     assert book.acquire('acme', clocks.now())
-    vm.happen(shares.FENCE_SECONDS + 1.0)
+    vm.advance(shares.FENCE_SECONDS + 1.0)
     assert not book.acquire('acme', clocks.now())
 
 
@@ -93,7 +93,7 @@
         await running.wait_ready()
         membership = running.routers[0].roster.membership
         assert len(membership.list_alive(clocks.now())) == 2
-        vm.happen(20.0)
+        vm.advance(20.0)
         assert len(membership.list_alive(clocks.now())) == 1
 
     run_check(check)
@@ -104,7 +104,7 @@
 
     async def check(running: deployment.Deployment) -> None:
         pending = await start_slow_request(running, patience_ms=8000)
-        vm.happen(9.0)
+        vm.advance(9.0)
         # Without the suspension, the response arrives after 4 seconds.
         assert (await pending).status == 504
 
@@ -116,7 +116,7 @@
         pending = await start_slow_request(running, patience_ms=9000)
         (process,) = running.routers
         process.begin_stop()
-        vm.happen(process.options.stop_bound)
+        vm.advance(process.options.stop_bound)
         assert (await pending).status == 502
         await running.wait_ended(process)
 
@@ -132,7 +132,7 @@
         (process,) = running.routers
         await running.ask('/safe/x')
         opened = process.adapter.pool.opened
-        vm.happen(0.3)
+        vm.advance(0.3)
         await asyncio.sleep(0.3)
         await running.ask('/safe/x')
         assert process.adapter.pool.opened > opened
--- a/passpier/tests/platform/throttling_tests.py
+++ b/passpier/tests/platform/throttling_tests.py
@@ -15,13 +15,13 @@
 from passpier import clocks
 from passpier.clients import connections, exchanges
 from passpier.core import backpressure
-from passpier.standins.platform import deployment, promises, replica
+from passpier.standins.platform import deployment, invariants, replica
 from passpier.tests.platform import harness
 
 
 async def send_steadily(
     running: deployment.Deployment, path: str, seconds: float, rate: float, rng: random.Random
-) -> list[deployment.Reply]:
+) -> list[deployment.Response]:
     """Send requests to random routers, at an average `rate` per second."""
     requests = []
     deadline = clocks.now() + seconds
@@ -37,7 +37,7 @@
     for _ in range(2 * len(running.replicas)):
         entries = range(len(running.routers))
         await asyncio.gather(*(running.ask(path, entry) for entry in entries))
-    return clocks.now() + promises.LIMIT_HEARD
+    return clocks.now() + invariants.LIMIT_GRACE
 
 
 @pytest.mark.parametrize('limit', [0.0, 1.0, 1.7, 6.0])
@@ -52,7 +52,7 @@
         since = await announce_limits(running, '/safe/x')
         replies = await send_steadily(running, '/safe/x', 8.0, 40.0, random.Random(42))
         arrived = [a.at for a in limited.arrivals if a.at >= since]
-        assert promises.find_over_limit(arrived, limit) == []
+        assert invariants.find_limit_excess(arrived, limit) == []
         assert {r.status for r in replies} == {200}
         # The limit is also used, not just respected.
         assert len(arrived) >= (clocks.now() - since) * limit * 0.5
@@ -66,13 +66,13 @@
             stand_in.faults.limit = 0.0
         await running.ask('/safe/x')
         await running.ask('/safe/x')
-        before = sum(stand_in.asked for stand_in in running.replicas.values())
+        before = sum(stand_in.arrival_count for stand_in in running.replicas.values())
         began = clocks.now()
         replies = [await running.ask('/safe/x') for _ in range(10)]
         assert {r.status for r in replies} == {503}
         assert clocks.now() - began < 1.0
         assert all(0.0 < float(r.headers.get('Retry-After') or 0) <= 10.0 for r in replies)
-        assert sum(stand_in.asked for stand_in in running.replicas.values()) == before
+        assert sum(stand_in.arrival_count for stand_in in running.replicas.values()) == before
 
     harness.run_check(check)
 
@@ -84,9 +84,9 @@
         await announce_limits(running, '/safe/x')
         limited.faults.limit = None
         await send_steadily(running, '/safe/x', 2.0, 20.0, random.Random(43))
-        before = limited.asked
+        before = limited.arrival_count
         await send_steadily(running, '/safe/x', 2.0, 40.0, random.Random(44))
-        assert limited.asked - before > 2.0 * 40.0 * 0.25
+        assert limited.arrival_count - before > 2.0 * 40.0 * 0.25
         assert all(r.pools.replicas['app-0'].throttle is None for r in running.routers)
 
     harness.run_check(check, routers=2)
@@ -136,6 +136,6 @@
         allowed.set()
         replies = await asyncio.gather(*pending)
         assert {r.status for r in replies} == {503}
-        assert not any(stand_in.asked for stand_in in running.replicas.values())
+        assert not any(stand_in.arrival_count for stand_in in running.replicas.values())
 
     harness.run_check(check)
--- a/passpier/tests/platform/unresponsive_connections_tests.py
+++ b/passpier/tests/platform/unresponsive_connections_tests.py
@@ -61,7 +61,7 @@
             links[id] = proxy.Proxy(replica.address)
             await links[id].start()
             replica.address = links[id].address
-            running.record(id)
+            running.write_entry(id)
         running.add_router('vm-0', 'zone-0', **changes)
         await running.wait_ready()
         yield ProxiedDeployment(running, store, links)
@@ -200,7 +200,7 @@
 def test_running_stream_is_resumed_elsewhere() -> None:
     async def check(proxied: ProxiedDeployment) -> None:
         for replica in proxied.running.replicas.values():
-            replica.events = 100
+            replica.event_count = 100
         pending = asyncio.ensure_future(
             proxied.running.ask(
                 '/resume/x', id='one', headers=harness.PROMPT_HEADERS, patience_ms=8000
@@ -222,7 +222,7 @@
     async def check(proxied: ProxiedDeployment) -> None:
         running = proxied.running
         for replica in running.replicas.values():
-            replica.events = 10_000
+            replica.event_count = 10_000
         link = proxy.Proxy(running.routers[0].options.caller)
         await link.start()
         pending = asyncio.ensure_future(
--- a/passpier/tests/routing/cache_store_follower_tests.py
+++ b/passpier/tests/routing/cache_store_follower_tests.py
@@ -8,7 +8,7 @@
 from passpier.core import cache_store_contents, routes
 from passpier.daemon import messages
 from passpier.routing import cache_store_follower, dialect, pools
-from passpier.standins import virtual
+from passpier.standins import virtual_time
 
 STORE = '10.0.0.9:80'
 
@@ -79,4 +79,4 @@
         assert [len(m.added) for m in successor.sent] == [1]
         assert held.holds_all([cache_store_contents.hash_part('s', 'new')], 0.0)
 
-    virtual.run(run())
+    virtual_time.run(run())
--- a/passpier/tests/routing/crash_records_tests.py
+++ b/passpier/tests/routing/crash_records_tests.py
@@ -13,7 +13,7 @@
 from passpier.core import crashes, members, replica_processes
 from passpier.daemon import peers, suspects
 from passpier.routing import crash_records, pools, registry_mirror
-from passpier.standins import virtual
+from passpier.standins import virtual_time
 from passpier.tests.routing import fleets
 
 CRASHING = 7
@@ -103,7 +103,7 @@
         known = Process(source, 'i2').read()
         assert known.count_crashes(CRASHING) == known.count_crashes(OTHER) == 1
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 def test_a_record_that_can_not_be_written_is_written_later() -> None:
@@ -121,7 +121,7 @@
         await first.marks.write_records()
         assert len(source.items) == written
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 def test_one_trial_is_granted_over_all_processes() -> None:
@@ -133,7 +133,7 @@
         source.unavailable = True
         assert not await processes[0].marks.claim_trial(OTHER)
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 def test_a_trial_known_to_be_granted_costs_no_call() -> None:
@@ -147,7 +147,7 @@
             assert not await other.marks.claim_trial(CRASHING)
         assert source.granted == granted
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 def test_an_invalid_record_is_ignored() -> None:
@@ -157,4 +157,4 @@
         await Process(source, 'i1').observe_crash(CRASHING)
         assert not Process(source, 'i2').read().count_crashes(CRASHING)
 
-    virtual.run(run())
+    virtual_time.run(run())
--- a/passpier/tests/routing/fleets.py
+++ b/passpier/tests/routing/fleets.py
@@ -11,7 +11,7 @@
 from passpier.clients import registry
 from passpier.core import catalogue, members, routes
 from passpier.routing import pools, registry_follower, registry_mirror, relaying
-from passpier.standins import network, virtual
+from passpier.standins import network, virtual_time
 
 KEY_BOUND = 5.0
 
@@ -191,4 +191,4 @@
         finally:
             await fleet.stop()
 
-    virtual.run(run())
+    virtual_time.run(run())
--- a/passpier/tests/routing/rate_limiting_tests.py
+++ b/passpier/tests/routing/rate_limiting_tests.py
@@ -14,7 +14,7 @@
 from passpier.core import buckets, entries, members
 from passpier.daemon import messages
 from passpier.routing import rate_limiting, registry_mirror
-from passpier.standins import network, virtual
+from passpier.standins import network, virtual_time
 
 RATE = buckets.Rate(100_000, 100_000)
 RATES = {'acme': RATE}
@@ -98,7 +98,7 @@
         assert sent <= 1.2 * rounds * sharing * (sharing - 1)
         assert fleet.processes[0].limiter.buckets.compute_share(clocks.now()) == 1.0
 
-    virtual.run(play())
+    virtual_time.run(play())
 
 
 def test_a_standby_process_serves_its_first_request_at_once() -> None:
@@ -111,7 +111,7 @@
         assert clocks.now() - began < rate_limiting.CONTACT_TIMEOUT
         fleet.end()
 
-    virtual.run(play())
+    virtual_time.run(play())
 
 
 def test_processes_that_spend_nothing_do_not_reply_to_replies() -> None:
@@ -127,7 +127,7 @@
         fleet.end()
         assert fleet.net.carried - before <= 3
 
-    virtual.run(play())
+    virtual_time.run(play())
 
 
 def test_without_limited_accounts_no_sharers_are_determined(
@@ -145,4 +145,4 @@
         assert net.carried == 0
         assert not lookups
 
-    virtual.run(play())
+    virtual_time.run(play())
--- a/passpier/tests/routing/replica_restarts_tests.py
+++ b/passpier/tests/routing/replica_restarts_tests.py
@@ -40,7 +40,7 @@
     roster,
     sources,
 )
-from passpier.standins import network, virtual
+from passpier.standins import network, virtual_time
 from passpier.tests.routing import rollouts_tests
 
 in_virtual_time = pytest.mark.usefixtures('virtual_clock')
@@ -367,7 +367,7 @@
         assert fleet.pools.get(ID).weight_version == '2'
         assert (NEW.started_ms, 0) in engines.expected
 
-    virtual.run(check())
+    virtual_time.run(check())
 
 
 def test_a_load_of_the_previous_process_does_not_count() -> None:
@@ -404,13 +404,13 @@
         assert fleet.pools.get(ID).paused_until < clocks.now()
         assert not received
 
-    virtual.run(check())
+    virtual_time.run(check())
 
 
 class SilentExchange:
     """A connection to a process that is gone, on which nothing arrives any more."""
 
-    is_silent = False
+    has_unacked_data = False
 
     async def read_head(self) -> exchanges.Head:
         await asyncio.sleep(1e6)
@@ -436,7 +436,7 @@
         assert raised.value.fault is attempts.Fault.NO_ANSWER
         assert clocks.now() - started < 2.0
 
-    virtual.run(check())
+    virtual_time.run(check())
 
 
 def test_weights_reverted_by_a_late_order_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -477,7 +477,7 @@
         await asyncio.sleep(0.2)
         assert fleet.pools.get(ID).process == NEW
 
-    virtual.run(check())
+    virtual_time.run(check())
 
 
 @in_virtual_time
@@ -502,4 +502,4 @@
         await asyncio.sleep(1.0)
         assert prober.is_unresponsive(ID)
 
-    virtual.run(check())
+    virtual_time.run(check())
--- a/passpier/tests/routing/rollouts_tests.py
+++ b/passpier/tests/routing/rollouts_tests.py
@@ -13,7 +13,7 @@
 from passpier.core import catalogue, members, routes
 from passpier.daemon import messages, peers
 from passpier.routing import dialect, pools, registry_follower, registry_mirror, rollouts, roster
-from passpier.standins import network, virtual
+from passpier.standins import network, virtual_time
 from passpier.tests.routing import fleets
 
 pytestmark = pytest.mark.usefixtures('virtual_clock')
@@ -132,4 +132,4 @@
         assert set(tokens[1:]) == {9}
         assert fleet.engines.versions == {'r1': 2}
 
-    virtual.run(check())
+    virtual_time.run(check())
--- a/passpier/tests/routing/throttling_tests.py
+++ b/passpier/tests/routing/throttling_tests.py
@@ -13,8 +13,8 @@
 from passpier.core import backpressure, catalogue, members, replica_processes, replicas, routes
 from passpier.daemon import messages
 from passpier.routing import pools, throttling
-from passpier.standins import network, virtual
-from passpier.standins.platform import promises
+from passpier.standins import network, virtual_time
+from passpier.standins.platform import invariants
 
 REPLICA_PROCESS = replica_processes.ReplicaProcess('llm-0', 7)
 LIMITED = backpressure.Signal(limit=1.0)
@@ -117,7 +117,7 @@
             for task in fleet.tasks:
                 task.cancel()
 
-    virtual.run(run())
+    virtual_time.run(run())
 
 
 def test_a_limit_received_by_one_process_reaches_all() -> None:
@@ -273,7 +273,7 @@
         return [
             at
             for at, process in self.arrived
-            if at >= self.notified_at.get(process, float('inf')) + promises.LIMIT_HEARD
+            if at >= self.notified_at.get(process, float('inf')) + invariants.LIMIT_GRACE
             and at >= self.exempt_until.get(process, 0.0)
         ]
 
@@ -316,7 +316,7 @@
         faults = [load.inject_faults(30.0)] if with_faults else []
         await asyncio.gather(load.run(30.0, 40.0 / size), *faults)
         counted = load.list_counted()
-        assert promises.find_over_limit(counted, limit) == []
+        assert invariants.find_limit_excess(counted, limit) == []
         if not with_faults and size == PROCESSES:
             # In a larger fleet the few processes with a share have too few requests of their own.
             assert len(load.arrived) >= 30.0 * limit * 0.5
