--- a/passpier/clients/registry.py
+++ b/passpier/clients/registry.py
@@ -87,7 +87,7 @@
         """Grant a lease of `ttl` seconds and return its id."""
 
     async def renew(self, lease: int) -> None:
-        """Renew a lease; raise `LeaseGoneError` if it has expired."""
+        """Renew a lease; raise `LeaseExpiredError` if it has expired."""
 
     async def end(self, lease: int) -> None:
         """Revoke a lease and delete its keys."""
--- a/passpier/core/crashes.py
+++ b/passpier/core/crashes.py
@@ -61,7 +61,7 @@
 requests that may be the cause."""
 
 MAX_EXPORTED = 128
-"""Maximum number of requests per message, those with the max_requests crashes first."""
+"""Maximum number of requests per message, those with the most crashes first."""
 
 Suspects = Sequence[int]
 """Fingerprints of requests."""
--- a/passpier/core/shares.py
+++ b/passpier/core/shares.py
@@ -319,7 +319,7 @@
         return not all(self._has_majority(grant, now) for grant in self._grants)
 
     def describe_contact(self, now: float) -> dict[str, float | int]:
-        """Return the basis of `is_cut_off` for the log; ages in seconds."""
+        """Return the basis of `is_isolated` for the log; ages in seconds."""
         others = self.list_involved()
         return {
             'store_age': round(now - self._store_contact_at, 3),
--- a/passpier/core/throttles.py
+++ b/passpier/core/throttles.py
@@ -36,7 +36,7 @@
 
 
 NO_SHARE = Share(0.0, 1.0)
-"""The share of a daemon that may only send the probes that `Throttle.grant` allows."""
+"""The share of a daemon that may only send the probes that `Throttle.allow_probe` allows."""
 
 
 def compute_share(replica: str, limit: float, own: str, names: Sequence[str]) -> Share:
--- a/passpier/routing/delivering.py
+++ b/passpier/routing/delivering.py
@@ -20,7 +20,7 @@
 
 
 class Delivery:
-    """Sends one response to its client; each method raises `NotReadError`."""
+    """Sends one response to its client; each method raises `SlowClientError`."""
 
     def __init__(self, client: responses.Client, wire: dialect.Dialect, ends_at: float) -> None:
         self._client = client
--- a/passpier/routing/dialect.py
+++ b/passpier/routing/dialect.py
@@ -103,7 +103,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """A replica's own report on its state; `orders` is the number its process has accepted."""
+    """A replica's own report on its state; `accepted_orders` counts those of its process."""
 
     versions: Mapping[str, int]
     order_pending: bool
--- a/passpier/routing/pools.py
+++ b/passpier/routing/pools.py
@@ -84,7 +84,7 @@
         self.on_signal: Callable[
             [replica_processes.ReplicaProcess, backpressure.Signal, float | None], None
         ] = lambda process, signal, ran_since: None
-        """Called with the backpressure signal of each response; see `learn_signal`."""
+        """Called with the backpressure signal of each response; see `apply_signal`."""
 
         self.on_leaving: Callable[[replica_processes.ReplicaProcess], None] = lambda process: None
         """Called when a response announces for the first time that its replica is leaving."""
--- a/passpier/routing/registry_follower.py
+++ b/passpier/routing/registry_follower.py
@@ -34,7 +34,7 @@
 
 
 class RegistryFollower:
-    """Keeps a `Knowledge` up to date."""
+    """Keeps a `RegistryState` up to date."""
 
     def __init__(
         self,
--- a/passpier/routing/router.py
+++ b/passpier/routing/router.py
@@ -288,7 +288,7 @@
     def begin_stop(self, not_later: float | None = None) -> None:
         """Start a drain; a second call has no effect.
 
-        Its times count from `not_later`, or from now: see `turned_at`.
+        Its times count from `not_later`, or from now: see `loop_checked_at`.
         """
         now = clocks.now()
         began_at = now if not_later is None else not_later
--- a/passpier/routing/throttling.py
+++ b/passpier/routing/throttling.py
@@ -81,7 +81,7 @@
         signal: backpressure.Signal,
         ran_since: float | None,
     ) -> None:
-        """Apply a response's limit; see `pools.Pools.learn_signal`."""
+        """Apply a response's limit; see `pools.Pools.apply_signal`."""
         now = clocks.now()
         if signal.limit is not None:
             self._apply_limit(process, signal.limit, now, 'answer')
--- a/passpier/standins/platform/deployment.py
+++ b/passpier/standins/platform/deployment.py
@@ -132,9 +132,10 @@
         return ids
 
     def overwrite_entry(self, id: str, kind: str) -> int:
-        """Replace a replica's entry by a malformed one; `kind` is a key of `foreign.build_values`.
+        """Replace a replica's entry by a malformed one.
 
-        `record` restores the replica's own entry. Returns the revision of the store.
+        `kind` is a key of `foreign_entries.build_malformed_entries`; `write_entry` restores the
+        replica's own entry. Returns the revision of the store.
         """
         values = foreign_entries.build_malformed_entries(self.replicas[id].render_entry())
         return self.store.put_bytes(names.REPLICA_PREFIX + id, values[kind])
--- a/passpier/standins/platform/replica.py
+++ b/passpier/standins/platform/replica.py
@@ -103,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that reached a replica; `life` is the number of the replica's process."""
+    """A request that reached a replica; `process_number` is the number of the replica's process."""
 
     id: str
     at: float
--- a/passpier/standins/platform/soak.py
+++ b/passpier/standins/platform/soak.py
@@ -4,7 +4,7 @@
 replica and of each router can delay, block, silence and reset connections. Routers are paused,
 killed, stopped, reloaded and restarted by signals, in series that overlap. With planned work only,
 every request that is cut counts as a violation. What clients and replicas observed is checked
-against the invariants (`promises`), and everything has to recover in the end.
+against the invariants (`invariants`), and everything has to recover in the end.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
     faults: list[tuple[float, str]] = dataclasses.field(default_factory=list)
     violations: list[str] = dataclasses.field(default_factory=list)
     backpressure_violations: list[str] = dataclasses.field(default_factory=list)
-    """The violations of backpressure signals, which `broken` contains as well."""
+    """The violations of backpressure signals, which `violations` contains as well."""
 
     def render(self) -> str:
         """Return the report as text."""
--- a/passpier/tests/platform/client_disconnects_tests.py
+++ b/passpier/tests/platform/client_disconnects_tests.py
@@ -3,7 +3,7 @@
 After a disconnect, no further request of the client may reach an upstream, an upstream that works
 on one is notified by a closed connection, and a request that is not idempotent is completed. The
 stand-in replica records the requests that reach it (`runs`), those it completes (`finished`) and
-those that its caller cancels (`dropped`).
+those that its caller cancels (`abandoned`).
 """
 
 from __future__ import annotations
