--- a/passpier/clients/web.py
+++ b/passpier/clients/web.py
@@ -140,7 +140,7 @@
         elif future.exception() is not None:
             self._error = ExchangeError(str(future.exception()), self._sent)
         if not self._head.done():
-            error = self._error or ExchangeError('no response', True)
+            error = self._error or ExchangeError('no answer', True)
             self._head.set_exception(error)
             # Retrieves the exception, because an abandoned exchange has nobody to read the head.
             self._head.exception()
